--- a/src/disk/disk.cpp
+++ b/src/disk/disk.cpp
@@ -45,58 +45,58 @@
 
 }  // namespace
 
-std::string folder_of(const std::string& path) {
+std::string parent_directory(const std::string& path) {
   const std::size_t at = path.rfind('/');
   return at == std::string::npos ? "." : at == 0 ? "/" : path.substr(0, at);
 }
 
-void Disk::replace(const std::string& path, std::string_view text, unsigned mode) {
+void Disk::replace_file(const std::string& path, std::string_view text, unsigned mode) {
   const std::string beside = path + ".new";
   {
-    const auto file = create(beside, mode);
+    const auto file = create_file(beside, mode);
     file->write(text);
     file->sync();
   }
   rename(beside, path);
-  sync_folder(folder_of(path));
+  sync_directory(parent_directory(path));
 }
 
-void Disk::replace_link(const std::string& to, const std::string& path) {
+void Disk::replace_symlink(const std::string& to, const std::string& path) {
   const std::string beside = path + ".new";
   remove_all(beside);
-  link(to, beside);
+  create_symlink(to, beside);
   rename(beside, path);
-  sync_folder(folder_of(path));
+  sync_directory(parent_directory(path));
 }
 
-std::unique_ptr<File> MachineDisk::create(const std::string& path, unsigned mode) {
+std::unique_ptr<File> LocalDisk::create_file(const std::string& path, unsigned mode) {
   return std::make_unique<MachineFile>(path, mode);
 }
 
-void MachineDisk::rename(const std::string& from, const std::string& to) {
+void LocalDisk::rename(const std::string& from, const std::string& to) {
   if (::rename(from.c_str(), to.c_str()) != 0) refuse(to, errno);
 }
 
-void MachineDisk::sync_folder(const std::string& path) {
+void LocalDisk::sync_directory(const std::string& path) {
   const net::Descriptor fd(open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   if (!fd || fsync(fd.get()) != 0) refuse(path, errno);
 }
 
-void MachineDisk::make_folder(const std::string& path) {
+void LocalDisk::make_directory(const std::string& path) {
   if (mkdir(path.c_str(), 0755) != 0 && errno != EEXIST) refuse(path, errno);
 }
 
-void MachineDisk::remove_all(const std::string& path) {
+void LocalDisk::remove_all(const std::string& path) {
   std::error_code wrong;
   fs::remove_all(path, wrong);
   if (wrong) refuse(path, wrong.value());
 }
 
-void MachineDisk::link(const std::string& to, const std::string& path) {
+void LocalDisk::create_symlink(const std::string& to, const std::string& path) {
   if (symlink(to.c_str(), path.c_str()) != 0) refuse(path, errno);
 }
 
-std::optional<std::string> MachineDisk::read(const std::string& path, std::size_t most) {
+std::optional<std::string> LocalDisk::read_file(const std::string& path, std::size_t most) {
   const net::Descriptor fd(open(path.c_str(), O_RDONLY | O_CLOEXEC));
   if (!fd && errno == ENOENT) return std::nullopt;
   if (!fd) refuse(path, errno);
@@ -112,7 +112,7 @@
   }
 }
 
-std::vector<std::string> MachineDisk::list(const std::string& path) {
+std::vector<std::string> LocalDisk::list_directory(const std::string& path) {
   std::vector<std::string> out;
   std::error_code wrong;
   for (const auto& entry : fs::directory_iterator(path, wrong))
--- a/src/disk/disk.h
+++ b/src/disk/disk.h
@@ -30,34 +30,36 @@
  public:
   virtual ~Disk() = default;
 
-  virtual std::unique_ptr<File> create(const std::string& path, unsigned mode) = 0;  // empty, or emptied
+  virtual std::unique_ptr<File> create_file(const std::string& path, unsigned mode) = 0;  // empty, or emptied
   virtual void rename(const std::string& from, const std::string& to) = 0;
-  virtual void sync_folder(const std::string& path) = 0;
-  virtual void make_folder(const std::string& path) = 0;  // nothing where it is there
+  virtual void sync_directory(const std::string& path) = 0;
+  virtual void make_directory(const std::string& path) = 0;  // nothing where it is there
   virtual void remove_all(const std::string& path) = 0;
-  virtual void link(const std::string& to, const std::string& path) = 0;  // a symbolic one, must not be there
+  virtual void create_symlink(const std::string& to,
+                              const std::string& path) = 0;  // a symbolic one, must not be there
 
   // Reading has no faults of its own beyond the machine's.
-  virtual std::optional<std::string> read(const std::string& path, std::size_t most) = 0;  // none: not there
-  virtual std::vector<std::string> list(const std::string& path) = 0;                      // sorted
+  virtual std::optional<std::string> read_file(const std::string& path,
+                                               std::size_t most) = 0;            // none: not there
+  virtual std::vector<std::string> list_directory(const std::string& path) = 0;  // sorted
 
-  void replace(const std::string& path, std::string_view text, unsigned mode = 0644);
-  void replace_link(const std::string& to, const std::string& path);
+  void replace_file(const std::string& path, std::string_view text, unsigned mode = 0644);
+  void replace_symlink(const std::string& to, const std::string& path);
 };
 
-std::string folder_of(const std::string& path);
+std::string parent_directory(const std::string& path);
 
 // The machine's own.
-class MachineDisk : public Disk {
+class LocalDisk : public Disk {
  public:
-  std::unique_ptr<File> create(const std::string& path, unsigned mode) override;
+  std::unique_ptr<File> create_file(const std::string& path, unsigned mode) override;
   void rename(const std::string& from, const std::string& to) override;
-  void sync_folder(const std::string& path) override;
-  void make_folder(const std::string& path) override;
+  void sync_directory(const std::string& path) override;
+  void make_directory(const std::string& path) override;
   void remove_all(const std::string& path) override;
-  void link(const std::string& to, const std::string& path) override;
-  std::optional<std::string> read(const std::string& path, std::size_t most) override;
-  std::vector<std::string> list(const std::string& path) override;
+  void create_symlink(const std::string& to, const std::string& path) override;
+  std::optional<std::string> read_file(const std::string& path, std::size_t most) override;
+  std::vector<std::string> list_directory(const std::string& path) override;
 };
 
 }  // namespace marbledyke::disk
--- a/src/distribution/main.cpp
+++ b/src/distribution/main.cpp
@@ -2,6 +2,6 @@
 #include "distribution/program.h"
 
 int main(int count, char** words) {
-  static marbledyke::disk::MachineDisk disk;
+  static marbledyke::disk::LocalDisk disk;
   return marbledyke::distribution::run(count, words, disk, marbledyke::machine_clock());
 }
--- a/src/distribution/node_state.cpp
+++ b/src/distribution/node_state.cpp
@@ -8,8 +8,8 @@
 #include <system_error>
 
 #include "config/fields.h"
+#include "fail_points/fail_points.h"
 #include "log/log.h"
-#include "points/points.h"
 
 namespace marbledyke::distribution {
 namespace {
@@ -30,18 +30,18 @@
 // The lock file stays: where it is there and the state is not, promises were lost.
 NodeState::NodeState(disk::Disk& disk, const std::string& folder, const std::string& fleet)
     : disk_(disk), path_(folder + "/state") {
-  disk_.make_folder(folder);
+  disk_.make_directory(folder);
   const std::string lock_path = folder + "/control.lock";
   const bool first_start = access(lock_path.c_str(), F_OK) != 0;
   lock_ = locked(folder, lock_path);
-  const auto text = disk_.read(path_, kMostState);
+  const auto text = disk_.read_file(path_, kMostState);
   if (text) {
     read(*text, fleet);
     return;
   }
   if (!first_start) throw config::BadInput(path_ + ": missing, and with it what this node has promised");
   try {
-    disk_.replace(path_, put(state_), kStateMode);
+    disk_.replace_file(path_, put(state_), kStateMode);
   } catch (const disk::DiskError&) {
     unlink(lock_path.c_str());  // nothing was promised yet: the next start is a first one again
     throw;
@@ -58,9 +58,9 @@
 
 bool NodeState::become(const AcceptorState& next) {
   if (next == state_) return true;
-  points::reach("control.before_write");
+  fail_points::hit("control.before_write");
   try {
-    disk_.replace(path_, put(next), kStateMode);
+    disk_.replace_file(path_, put(next), kStateMode);
   } catch (const disk::DiskError& wrong) {
     failures_ += 1;
     log::event(log::Level::error, "control.not_written", {{"why", wrong.what()}});
@@ -68,7 +68,7 @@
   }
   writes_ += 1;
   state_ = next;
-  points::reach("control.written");
+  fail_points::hit("control.written");
   return true;
 }
 
--- a/src/distribution/program.cpp
+++ b/src/distribution/program.cpp
@@ -9,7 +9,7 @@
 
 #include "config/fields.h"
 #include "distribution/node.h"
-#include "keeper/private.h"
+#include "keeper/control_address.h"
 #include "log/log.h"
 #include "net/signals.h"
 
@@ -24,7 +24,7 @@
 net::Address private_address(const std::string& text, const std::string& option) {
   const auto address = net::parse_address(text);
   if (!address) throw config::BadInput(option + ": not an address: " + text);
-  if (const std::string why = keeper::not_private(*address); !why.empty())
+  if (const std::string why = keeper::control_address_error(*address); !why.empty())
     throw config::BadInput(option + ": " + text + " is " + why);
   return *address;
 }
--- a/src/points/points.h
+++ b/src/fail_points/fail_points.h
@@ -2,8 +2,8 @@
 // nothing: the lab's programs are the same libraries linked with another version of it.
 #pragma once
 
-namespace marbledyke::points {
+namespace marbledyke::fail_points {
 
-void reach(const char* name);
+void hit(const char* name);
 
-}  // namespace marbledyke::points
+}  // namespace marbledyke::fail_points
--- a/src/fleet/file.cpp
+++ b/src/fleet/file.cpp
@@ -4,7 +4,7 @@
 #include <set>
 #include <sstream>
 
-#include "keeper/private.h"
+#include "keeper/control_address.h"
 #include "xml/document.h"
 
 namespace marbledyke::fleet {
@@ -33,7 +33,7 @@
       reader.fault(at, attribute + ": not an address with a port, nor a Unix socket: " + stated);
       return net::Address{};
     }
-    if (const std::string why = keeper::not_private(*address); !why.empty())
+    if (const std::string why = keeper::control_address_error(*address); !why.empty())
       reader.fault(at, attribute + ": " + stated + " is " + why);
     if (!addresses.insert(address->text()).second)
       reader.fault(at, attribute + ": " + stated + " is there twice");
--- a/src/fleet/rollout.cpp
+++ b/src/fleet/rollout.cpp
@@ -46,11 +46,11 @@
       }()),
       evidence_(plan, members_),
       talk_(loop) {
-  disk_.make_folder(folder_);
+  disk_.make_directory(folder_);
   lock_ = net::Descriptor(open((folder_ + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
   if (!lock_ || flock(lock_.get(), LOCK_EX | LOCK_NB) != 0)
     throw config::BadInput(folder_ + ": another conductor has it");
-  if (const auto text = disk_.read(state_file(folder_), kMostState)) {
+  if (const auto text = disk_.read_file(state_file(folder_), kMostState)) {
     const json before = config::parse(*text);
     const rollout::Kept kept = rollout::read_kept(config::object(before, "kept"));
     const bool over =
@@ -270,7 +270,7 @@
 // What a person says comes as a file with a word in it.
 void Rollout::heed() {
   const std::string path = folder_ + "/told";
-  const auto word = disk_.read(path, 100);
+  const auto word = disk_.read_file(path, 100);
   if (!word) return;
   disk_.remove_all(path);
   const std::string said = word->substr(0, word->find('\n'));
@@ -300,7 +300,7 @@
                     {"impossible", conductor_->impossible()},
                     {"compared", std::move(lines)}};
   try {
-    disk_.replace(state_file(folder_), out.dump() + "\n", 0600);
+    disk_.replace_file(state_file(folder_), out.dump() + "\n", 0600);
     state_wrong_ = false;
   } catch (const disk::DiskError& wrong) {
     if (!std::exchange(state_wrong_, true)) std::cerr << "marbledyke-fleet: " << wrong.what() << '\n';
@@ -355,7 +355,7 @@
 
 int rollout_start(const Fleet& fleet, const rollout::Plan& plan, const std::string& folder) {
   if (objected(fleet, plan)) return 1;
-  disk::MachineDisk disk;
+  disk::LocalDisk disk;
   net::Loop loop;
   try {
     Rollout rollout(loop, disk, fleet, plan, folder);
@@ -370,9 +370,9 @@
 }
 
 int rollout_status(const std::string& folder, bool as_json) {
-  disk::MachineDisk disk;
+  disk::LocalDisk disk;
   try {
-    const auto text = disk.read(state_file(folder), kMostState);
+    const auto text = disk.read_file(state_file(folder), kMostState);
     if (!text) {
       std::cerr << "marbledyke-fleet: " << folder << ": no rollout there\n";
       return 2;
@@ -401,9 +401,9 @@
 }
 
 int rollout_tell(const std::string& folder, const std::string& word) {
-  disk::MachineDisk disk;
+  disk::LocalDisk disk;
   try {
-    disk.replace(folder + "/told", word + "\n", 0600);
+    disk.replace_file(folder + "/told", word + "\n", 0600);
     std::cout << "told\n";
     return 0;
   } catch (const disk::DiskError& wrong) {
--- a/src/keeper/child.cpp
+++ b/src/keeper/child.cpp
@@ -17,8 +17,8 @@
 #include <system_error>
 #include <vector>
 
+#include "fail_points/fail_points.h"
 #include "net/address.h"
-#include "points/points.h"
 
 namespace marbledyke::keeper {
 namespace {
@@ -129,7 +129,7 @@
   std::vector<char*> plain;
   for (std::string& word : words) plain.push_back(word.data());
   plain.push_back(nullptr);
-  points::reach("begin.before");
+  fail_points::hit("begin.before");
   const pid_t pid = fork();
   if (pid < 0) refuse("fork");
   if (pid == 0) {
@@ -144,7 +144,7 @@
       if (!out) _exit(125);
     }
     if (rename((born + ".new").c_str(), born.c_str()) != 0) _exit(125);
-    points::reach("child.born");
+    fail_points::hit("child.born");
     sigset_t none;
     sigemptyset(&none);
     sigprocmask(SIG_SETMASK, &none, nullptr);
@@ -168,7 +168,7 @@
     execv(plain[0], plain.data());
     _exit(127);
   }
-  points::reach("begin.after");
+  fail_points::hit("begin.after");
   own_ = true;
   born_ = {pid, started_at(pid).value_or(0), start.version};
   follow(pid);
--- a/src/keeper/private.cpp
+++ b/src/keeper/control_address.cpp
@@ -1,10 +1,10 @@
-#include "keeper/private.h"
+#include "keeper/control_address.h"
 
 #include <arpa/inet.h>
 
 namespace marbledyke::keeper {
 
-std::string not_private(const net::Address& address) {
+std::string control_address_error(const net::Address& address) {
   sockaddr_storage storage{};
   address.put(storage);
   if (address.family() == net::Family::local) return {};
--- a/src/keeper/private.h
+++ b/src/keeper/control_address.h
@@ -9,6 +9,6 @@
 
 // Why nobody may be let in there: wildcard and public addresses. Empty: loopback, a private address (RFC
 // 1918, RFC 4193, link-local) or a Unix socket.
-std::string not_private(const net::Address& address);
+std::string control_address_error(const net::Address& address);
 
 }  // namespace marbledyke::keeper
--- a/src/keeper/keeper.cpp
+++ b/src/keeper/keeper.cpp
@@ -13,9 +13,9 @@
 #include <utility>
 
 #include "config/fields.h"
+#include "fail_points/fail_points.h"
 #include "log/log.h"
 #include "model/measure.h"
-#include "points/points.h"
 
 namespace marbledyke::keeper {
 namespace {
@@ -63,7 +63,7 @@
 Keeper::Keeper(net::Loop& loop, disk::Disk& disk, const Options& options)
     : loop_(loop), disk_(disk), options_(options), versions_(disk, options.folder) {
   loop_.read_clock();
-  disk_.make_folder(options_.folder);
+  disk_.make_directory(options_.folder);
   const std::string lock = options_.folder + "/keeper.lock";
   lock_ = net::Descriptor(open(lock.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
   if (!lock_) throw std::system_error(errno, std::generic_category(), lock);
@@ -76,7 +76,7 @@
   bool known = false;
   const std::string state = options_.folder + "/state";
   try {
-    const auto text = disk_.read(state, kMostState);
+    const auto text = disk_.read_file(state, kMostState);
     known = text.has_value();
     if (text) kept = read_kept(*text);
   } catch (const std::exception& wrong) {
@@ -194,7 +194,7 @@
       case Act::What::term:
         slots_[act->slot].stopping = true;
         slots_[act->slot].child->signal(SIGTERM);
-        points::reach("term.after");
+        fail_points::hit("term.after");
         break;
       case Act::What::kill:
         slots_[act->slot].felled = true;
@@ -211,9 +211,9 @@
 
 bool Keeper::write(const Kept& kept) {
   try {
-    points::reach("state.before");
-    disk_.replace(options_.folder + "/state", put(kept), 0600);
-    points::reach("state.after");
+    fail_points::hit("state.before");
+    disk_.replace_file(options_.folder + "/state", put(kept), 0600);
+    fail_points::hit("state.after");
     write_wrong_.clear();
     return true;
   } catch (const disk::DiskError& wrong) {
@@ -226,7 +226,7 @@
 
 std::string Keeper::listen_of(const std::string& version) const {
   try {
-    const auto text = disk_.read(versions_.path(version) + "/config.json", kMostFile);
+    const auto text = disk_.read_file(versions_.path(version) + "/config.json", kMostFile);
     return stated_or(config::parse(text.value_or("")), "listen", "");
   } catch (const std::exception&) {
     return {};
@@ -410,7 +410,7 @@
     if (!write(kept)) {
       verdict = Verdict::not_kept;
     } else {
-      points::reach("order.kept");
+      fail_points::hit("order.kept");
       log::event(log::Level::info, "order.taken",
                  {{"order", name_of(order.kind)},
                   {"version", order.version},
--- a/src/keeper/keeper_settings.cpp
+++ b/src/keeper/keeper_settings.cpp
@@ -3,8 +3,8 @@
 
 #include <utility>
 
+#include "fail_points/fail_points.h"
 #include "keeper/keeper.h"
-#include "points/points.h"
 
 namespace marbledyke::keeper {
 
@@ -49,7 +49,7 @@
     return;
   }
   slots_[slot].waits.clear();
-  points::reach("hup.before");
+  fail_points::hit("hup.before");
   slots_[slot].child->signal(SIGHUP);
 }
 
--- a/src/keeper/main.cpp
+++ b/src/keeper/main.cpp
@@ -2,6 +2,6 @@
 #include "keeper/program.h"
 
 int main(int count, char** words) {
-  static marbledyke::disk::MachineDisk disk;
+  static marbledyke::disk::LocalDisk disk;
   return marbledyke::keeper::run(count, words, disk, marbledyke::machine_clock());
 }
--- a/src/keeper/program.cpp
+++ b/src/keeper/program.cpp
@@ -7,8 +7,8 @@
 #include <iostream>
 
 #include "config/fields.h"
+#include "keeper/control_address.h"
 #include "keeper/keeper.h"
-#include "keeper/private.h"
 #include "log/log.h"
 #include "net/signals.h"
 
@@ -27,7 +27,7 @@
   for (const std::string& each : stated) {
     const auto address = net::parse_address(each);
     if (!address) throw config::BadInput("--control-node: not an address: " + each);
-    if (const std::string why = not_private(*address); !why.empty())
+    if (const std::string why = control_address_error(*address); !why.empty())
       throw config::BadInput("--control-node: " + each + " is " + why);
     out.push_back(*address);
   }
@@ -77,7 +77,7 @@
     log::open(log::Level::info, log_form == "json" ? log::Form::json : log::Form::plain, options.name);
     const auto address = net::parse_address(control);
     if (!address) throw config::BadInput("--control: not an address: " + control);
-    if (const std::string why = not_private(*address); !why.empty())
+    if (const std::string why = control_address_error(*address); !why.empty())
       throw config::BadInput("--control: " + control + " is " + why);
     options.control = *address;
     if (options.folder.empty() || options.folder.front() != '/')
--- a/src/keeper/settings_keeper.cpp
+++ b/src/keeper/settings_keeper.cpp
@@ -3,9 +3,9 @@
 #include <utility>
 
 #include "config/fields.h"
+#include "fail_points/fail_points.h"
 #include "log/log.h"
 #include "model/measure.h"
-#include "points/points.h"
 
 namespace marbledyke::keeper {
 namespace {
@@ -42,7 +42,7 @@
 // One that cannot be read, or is another fleet's, is set aside and counts as none.
 std::optional<Revision> SettingsKeeper::load(const std::string& path) {
   try {
-    const auto text = disk_.read(path, kMostFile);
+    const auto text = disk_.read_file(path, kMostFile);
     if (!text) return std::nullopt;
     Revision out = distribution::read_revision(config::parse(*text));
     if (const auto fault = distribution::fault_of(out, options_.fleet)) throw config::BadInput(*fault);
@@ -94,11 +94,11 @@
         break;
       case HolderAct::What::hup:
         waits_.clear();
-        points::reach("settings.hup");
+        fail_points::hit("settings.hup");
         hup_();
         break;
       case HolderAct::What::applied:
-        points::reach("settings.applied");
+        fail_points::hit("settings.applied");
         if (client_) client_->applied();
         break;
       case HolderAct::What::refused:
@@ -121,14 +121,14 @@
   const std::string& path = for_gatherers ? file_ : good_file_;
   std::string wrong;
   try {
-    points::reach(for_gatherers ? "settings.before" : "settings.good.before");
+    fail_points::hit(for_gatherers ? "settings.before" : "settings.good.before");
     if (act.revision) {
-      disk_.replace(path, distribution::put(*act.revision).dump() + "\n");
+      disk_.replace_file(path, distribution::put(*act.revision).dump() + "\n");
     } else {
       disk_.remove_all(path);
-      disk_.sync_folder(disk::folder_of(path));
+      disk_.sync_directory(disk::parent_directory(path));
     }
-    points::reach(for_gatherers ? "settings.written" : "settings.good.written");
+    fail_points::hit(for_gatherers ? "settings.written" : "settings.good.written");
   } catch (const disk::DiskError& error) {
     wrong = error.what();
     log::event(log::Level::error, "settings.not_written", {{"why", wrong}});
--- a/src/keeper/versions.cpp
+++ b/src/keeper/versions.cpp
@@ -11,9 +11,9 @@
 #include <system_error>
 
 #include "config/fields.h"
+#include "fail_points/fail_points.h"
 #include "model/measure.h"
 #include "net/descriptor.h"
-#include "points/points.h"
 
 namespace marbledyke::keeper {
 namespace {
@@ -93,10 +93,10 @@
 std::string Versions::current() const { return folder_ + "/current"; }
 
 void Versions::open() {
-  disk_.make_folder(folder_);
-  disk_.make_folder(folder_ + "/versions");
+  disk_.make_directory(folder_);
+  disk_.make_directory(folder_ + "/versions");
   facts_.clear();
-  for (const std::string& id : disk_.list(folder_ + "/versions")) {
+  for (const std::string& id : disk_.list_directory(folder_ + "/versions")) {
     if (id.starts_with(".part-")) {
       disk_.remove_all(path(id));
     } else if (is_version_name(id)) {
@@ -108,7 +108,7 @@
 // One whose manifest cannot be read is not there; its folder is left for people to look at.
 void Versions::read_facts(const std::string& id) {
   try {
-    const auto text = disk_.read(path(id) + "/" + kManifest, kMostManifest);
+    const auto text = disk_.read_file(path(id) + "/" + kManifest, kMostManifest);
     if (!text) return;
     const json manifest = config::parse(*text);
     const json& files = config::object(manifest, "files");
@@ -126,9 +126,9 @@
 
 void Versions::link(const std::string& id) {
   if (linked() == id) return;
-  points::reach("link.before");
-  disk_.replace_link("versions/" + id, current());
-  points::reach("link.after");
+  fail_points::hit("link.before");
+  disk_.replace_symlink("versions/" + id, current());
+  fail_points::hit("link.after");
 }
 
 std::optional<std::string> Versions::linked() const {
@@ -141,7 +141,7 @@
 
 std::string Versions::verify(const std::string& id) const {
   try {
-    const auto text = disk_.read(path(id) + "/" + kManifest, kMostManifest);
+    const auto text = disk_.read_file(path(id) + "/" + kManifest, kMostManifest);
     if (!text) return "it has no manifest";
     const json manifest = config::parse(*text);
     for (const auto& [name, sum] : config::object(manifest, "files").items()) {
@@ -159,8 +159,8 @@
   disk_.remove_all(part);
   disk_.rename(path(id), part);
   facts_.erase(id);
-  disk_.sync_folder(folder_ + "/versions");
-  points::reach("drop.renamed");
+  disk_.sync_directory(folder_ + "/versions");
+  fail_points::hit("drop.renamed");
   disk_.remove_all(part);
 }
 
@@ -179,7 +179,7 @@
   if (files_.size() < 2 || files_[0] != kProgram || files_[1] != kSettings)
     throw BadInput("from: " + from_ + " does not hold both " + kProgram + " and " + kSettings);
   into_.disk_.remove_all(part_);
-  into_.disk_.make_folder(part_);
+  into_.disk_.make_directory(part_);
 }
 
 Versions::Taking::~Taking() {
@@ -199,7 +199,7 @@
       copy_->name = files_[at_];
       copy_->from = open_to_read(from_ + "/" + copy_->name);
       const bool runs = copy_->name.starts_with("marbledyke");
-      copy_->to = into_.disk_.create(part_ + "/" + copy_->name, runs ? 0755 : 0644);
+      copy_->to = into_.disk_.create_file(part_ + "/" + copy_->name, runs ? 0755 : 0644);
     }
     const std::string bytes = some_of(copy_->from, copy_->name);
     copy_->size += bytes.size();
@@ -210,23 +210,23 @@
       copy_->summing.add(bytes);
       copy_->to->write(bytes);
     }
-    points::reach("take.part");
+    fail_points::hit("take.part");
     return true;
   }
-  const auto settings = into_.disk_.read(part_ + "/" + std::string(kSettings), kMostSettings);
+  const auto settings = into_.disk_.read_file(part_ + "/" + std::string(kSettings), kMostSettings);
   const json parsed = config::parse(settings.value_or(""));
   if (!parsed.is_object()) throw BadInput(std::string(kSettings) + ": is not an object");
   json manifest = {{"format", 1}, {"files", sums_}, {"configuration", digest_of(*settings)}};
   {
-    const auto file = into_.disk_.create(part_ + "/" + kManifest, 0644);
+    const auto file = into_.disk_.create_file(part_ + "/" + kManifest, 0644);
     file->write(manifest.dump(1) + "\n");
     file->sync();
   }
-  into_.disk_.sync_folder(part_);
-  points::reach("take.synced");
+  into_.disk_.sync_directory(part_);
+  fail_points::hit("take.synced");
   into_.disk_.rename(part_, into_.path(id_));
-  into_.disk_.sync_folder(into_.folder_ + "/versions");
-  points::reach("take.renamed");
+  into_.disk_.sync_directory(into_.folder_ + "/versions");
+  fail_points::hit("take.renamed");
   done_ = true;
   into_.read_facts(id_);
   return false;
--- a/src/rig/bent.cpp
+++ b/src/rig/bent.cpp
@@ -13,7 +13,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "points/points.h"
+#include "fail_points/fail_points.h"
 
 namespace marbledyke {
 namespace rig {
@@ -153,7 +153,7 @@
   return Span(static_cast<std::int64_t>(static_cast<double>(own.count()) / std::max(rate_, 0.001)));
 }
 
-std::unique_ptr<disk::File> BentDisk::create(const std::string& path, unsigned mode) {
+std::unique_ptr<disk::File> BentDisk::create_file(const std::string& path, unsigned mode) {
   if (bends().read_only) refuse(path, EROFS);
   if (bends().full) refuse(path, ENOSPC);
   return std::make_unique<BentFile>(path, mode);
@@ -161,35 +161,35 @@
 
 void BentDisk::rename(const std::string& from, const std::string& to) {
   if (bends().read_only) refuse(to, EROFS);
-  MachineDisk::rename(from, to);
+  LocalDisk::rename(from, to);
 }
 
-void BentDisk::make_folder(const std::string& path) {
+void BentDisk::make_directory(const std::string& path) {
   struct stat is {};
   if (stat(path.c_str(), &is) == 0) return;
   if (bends().read_only) refuse(path, EROFS);
   if (bends().full) refuse(path, ENOSPC);
-  MachineDisk::make_folder(path);
+  LocalDisk::make_directory(path);
 }
 
-void BentDisk::link(const std::string& to, const std::string& path) {
+void BentDisk::create_symlink(const std::string& to, const std::string& path) {
   if (bends().read_only) refuse(path, EROFS);
   if (bends().full) refuse(path, ENOSPC);
-  MachineDisk::link(to, path);
+  LocalDisk::create_symlink(to, path);
 }
 
-void BentDisk::sync_folder(const std::string& path) {
+void BentDisk::sync_directory(const std::string& path) {
   const Bends now = bends();
   if (now.slow_ms > 0) usleep(static_cast<useconds_t>(now.slow_ms * 1000));
-  MachineDisk::sync_folder(path);
+  LocalDisk::sync_directory(path);
 }
 
 }  // namespace rig
 
-namespace points {
+namespace fail_points {
 
 // The lab's: what the bends name is done there.
-void reach(const char* name) {
+void hit(const char* name) {
   static int reached = 0;
   const rig::Bends& now = rig::bends();
   if (now.point != name) return;
@@ -198,5 +198,5 @@
   ::kill(::getpid(), now.what == "stop" ? SIGSTOP : SIGKILL);
 }
 
-}  // namespace points
+}  // namespace fail_points
 }  // namespace marbledyke
--- a/src/rig/bent.h
+++ b/src/rig/bent.h
@@ -47,13 +47,13 @@
 };
 
 // What was not synced never gets there: the worst that a machine that loses its power may do.
-class BentDisk final : public disk::MachineDisk {
+class BentDisk final : public disk::LocalDisk {
  public:
-  std::unique_ptr<disk::File> create(const std::string& path, unsigned mode) override;
+  std::unique_ptr<disk::File> create_file(const std::string& path, unsigned mode) override;
   void rename(const std::string& from, const std::string& to) override;
-  void make_folder(const std::string& path) override;
-  void link(const std::string& to, const std::string& path) override;
-  void sync_folder(const std::string& path) override;
+  void make_directory(const std::string& path) override;
+  void create_symlink(const std::string& to, const std::string& path) override;
+  void sync_directory(const std::string& path) override;
 };
 
 }  // namespace marbledyke::rig
--- a/tests/keeper_traces.cpp
+++ b/tests/keeper_traces.cpp
@@ -8,8 +8,8 @@
 
 #include "config/fields.h"
 #include "emulator/keepers.h"
+#include "keeper/control_address.h"
 #include "keeper/orders.h"
-#include "keeper/private.h"
 #include "totals/totals.h"
 
 using namespace marbledyke;
@@ -96,11 +96,11 @@
   for (const char* text :
        {"127.0.0.1:7700", "127.9.0.1:7700", "10.1.2.3:7700", "172.16.0.1:1", "172.32.0.1:1", "192.168.3.4:1",
         "8.8.8.8:1", "[::1]:7700", "[fd00::1]:7700", "[2001:db8::1]:7700", "unix:/run/k.sock"}) {
-    const std::string why = keeper::not_private(*net::parse_address(text));
+    const std::string why = keeper::control_address_error(*net::parse_address(text));
     std::printf("%-20s %s\n", text, why.empty() ? "may be" : why.c_str());
   }
   net::Address wildcard;
-  std::printf("%-20s %s\n", "0.0.0.0:0", keeper::not_private(wildcard).c_str());
+  std::printf("%-20s %s\n", "0.0.0.0:0", keeper::control_address_error(wildcard).c_str());
 }
 
 // What is on the disk is as it was written, or it is refused: torn at any byte, or with any bit flipped.
