--- a/bench/benchmarks.cpp
+++ b/bench/benchmarks.cpp
@@ -5,11 +5,11 @@
 #include <cstdio>
 #include <string>
 
-#include "addresses/book.h"
+#include "addresses/address_book.h"
 #include "choice.h"
 #include "clients/ask.h"
 #include "net/http.h"
-#include "net/ring.h"
+#include "net/ring_buffer.h"
 #include "scenario/scenario.h"
 #include "servers/frames.h"
 
@@ -101,18 +101,18 @@
       "POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: 9b1f03aa5c7e2d41\r\nX-Class: look\r\n"
       "X-Tenant: acme\r\nX-Deadline-Ms: 480\r\nContent-Length: " +
       std::to_string(body.size()) + "\r\n\r\n" + body;
-  net::HttpReader reader(net::HttpReader::Kind::request, 64 * 1024);
+  net::HttpParser reader(net::HttpParser::Kind::request, 64 * 1024);
   for (auto _ : state) {
-    reader.restart();
-    benchmark::DoNotOptimize(reader.take(text));
-    if (reader.state() != net::HttpReader::State::done) state.SkipWithError("not read");
+    reader.reset();
+    benchmark::DoNotOptimize(reader.feed(text));
+    if (reader.state() != net::HttpParser::State::complete) state.SkipWithError("not read");
   }
 }
 BENCHMARK(http_request);
 
 void ask(benchmark::State& state) {
   net::HttpMessage message;
-  message.first = "POST";
+  message.method_or_version = "POST";
   message.headers = {{"x-request-id", "9b1f03aa5c7e2d41"}, {"x-class", "look"}, {"x-deadline-ms", "480"}};
   message.body = R"({"slices":[{"slice":3,"mass":0.5},{"slice":9,"mass":0.5}],"filter":"c41e77d0"})";
   config::Carriage carriage;
@@ -133,11 +133,11 @@
            std::string(static_cast<std::size_t>(state.range(0)), 'v');
   servers::end_frame(bytes, place);
   const std::vector<std::string> fields{"active", "cpu"};
-  servers::FrameReader reader;
+  servers::FrameParser reader;
   for (auto _ : state) {
-    reader.restart();
-    reader.take(bytes);
-    auto answer = servers::read_answer(reader.frame(), fields);
+    reader.reset();
+    reader.feed(bytes);
+    auto answer = servers::parse_part_answer(reader.frame(), fields);
     benchmark::DoNotOptimize(answer);
     if (!answer) state.SkipWithError("not read");
   }
@@ -145,31 +145,31 @@
 BENCHMARK(frame)->Arg(16)->Arg(16 * 1024);
 
 void ring(benchmark::State& state) {
-  net::Ring out(64 * 1024);
+  net::RingBuffer out(64 * 1024);
   const std::string text(512, 'x');
   for (auto _ : state) {
-    out.put(text);
+    out.append(text);
     benchmark::DoNotOptimize(out.front().data());
-    out.drop(text.size());
+    out.consume(text.size());
   }
 }
 BENCHMARK(ring);
 
 // A connection to a server of three addresses, sound ones.
 void race(benchmark::State& state) {
-  addresses::Book book({}, 1);
-  book.news_opens(true);
-  book.listed(
+  addresses::AddressBook book({}, 1);
+  book.begin_update(true);
+  book.update_server(
       "A", true,
       {*net::parse_address("unix:@a"), *net::parse_address("[::1]:90"), *net::parse_address("127.0.0.1:90")});
-  book.news_closes();
+  book.finish_update();
   Duration now{};
   for (auto _ : state) {
     now += 1ms;
-    const auto id = book.begin("A", now);
-    const auto step = book.next(id, now);
-    book.ended(id, step.attempt, addresses::End::came_up, now);
-    book.over(id);
+    const auto id = book.begin_race("A", now);
+    const auto step = book.next_step(id, now);
+    book.on_attempt_ended(id, step.attempt, addresses::AttemptOutcome::connected, now);
+    book.end_race(id);
   }
 }
 BENCHMARK(race);
--- a/src/addresses/book.cpp
+++ b/src/addresses/address_book.cpp
@@ -1,4 +1,4 @@
-#include "addresses/book.h"
+#include "addresses/address_book.h"
 
 #include <algorithm>
 #include <array>
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-std::string_view name_of(End end) {
+std::string_view name_of(AttemptOutcome end) {
   static constexpr std::array<std::string_view, 7> kNames{"came_up", "refused", "hung",      "reset_early",
                                                           "silent",  "no_room", "not_needed"};
   return kNames[static_cast<std::size_t>(end)];
@@ -25,14 +25,14 @@
 
 // ---- membership ----
 
-void Book::news_opens(bool whole) {
+void AddressBook::begin_update(bool whole) {
   ++news_;
   whole_ = whole;
   if (!whole) return;
   for (auto& [name, server] : servers_) server.seen = false;
 }
 
-void Book::listed(const std::string& name, bool up, std::vector<Address> addresses) {
+void AddressBook::update_server(const std::string& name, bool up, std::vector<Address> addresses) {
   Server& server = servers_[name];
   server.seen = true;
   server.up = up;
@@ -40,12 +40,12 @@
   merge(name, server, news_);
 }
 
-void Book::stays(std::string_view name) {
+void AddressBook::keep_server(std::string_view name) {
   const auto at = servers_.find(name);
   if (at != servers_.end()) at->second.seen = true;
 }
 
-void Book::gone(const std::string& name) {
+void AddressBook::remove_server(const std::string& name) {
   const auto at = servers_.find(name);
   if (at == servers_.end()) return;
   for (Known& known : at->second.known) {
@@ -55,16 +55,17 @@
   servers_.erase(at);
 }
 
-void Book::news_closes() {
+void AddressBook::finish_update() {
   if (!whole_) return;
   std::vector<std::string> unnamed;
   for (const auto& [name, server] : servers_) {
     if (!server.seen) unnamed.push_back(name);
   }
-  for (const std::string& name : unnamed) gone(name);
+  for (const std::string& name : unnamed) remove_server(name);
 }
 
-void Book::configure(const Rules& rules, std::map<std::string, Configured, std::less<>> configured) {
+void AddressBook::configure(const ConnectSettings& rules,
+                            std::map<std::string, ServerOverride, std::less<>> configured) {
   rules_ = rules;
   configured_ = std::move(configured);
   ++news_;
@@ -72,16 +73,16 @@
 }
 
 // The list's addresses and the operator's, each once. Whatever stays keeps what is known of it.
-void Book::merge(const std::string& name, Server& server, std::uint64_t stamp) {
+void AddressBook::merge(const std::string& name, Server& server, std::uint64_t stamp) {
   std::vector<Address> all = server.listed;
   if (const auto at = configured_.find(name); at != configured_.end()) {
-    if (at->second.instead) all.clear();
+    if (at->second.replaces_listed) all.clear();
     all.insert(all.end(), at->second.addresses.begin(), at->second.addresses.end());
   }
   std::vector<Known> known;
   for (const Address& address : all) {
     const auto is = [&](const Known& one) { return one.address == address; };
-    if (std::any_of(known.begin(), known.end(), is) || known.size() == kMostAddresses) continue;
+    if (std::any_of(known.begin(), known.end(), is) || known.size() == kMaxAddressesPerServer) continue;
     const auto old = std::find_if(server.known.begin(), server.known.end(), is);
     if (old != server.known.end()) {
       known.push_back(*old);
@@ -92,7 +93,7 @@
       known.push_back(fresh);
       auto& claims = claims_[address];
       claims[name] = stamp;
-      if (claims.size() > 1) tally_.contested += 1;
+      if (claims.size() > 1) counters_.contested += 1;
     }
   }
   for (Known& old : server.known) {
@@ -106,7 +107,7 @@
   if (server.known.size() == 1) forget_doubt(name, server.known.front());
 }
 
-void Book::unclaim(const std::string& server, const Address& address) {
+void AddressBook::unclaim(const std::string& server, const Address& address) {
   const auto at = claims_.find(address);
   if (at == claims_.end()) return;
   at->second.erase(server);
@@ -115,7 +116,7 @@
 
 // An address named for two servers leads to one of them at most. The newer claim holds: it has moved. Where
 // both came in one piece of news neither holds, since a part at the wrong server is worse than a detour.
-bool Book::contested(const std::string& server, const Address& address) const {
+bool AddressBook::contested(const std::string& server, const Address& address) const {
   const auto at = claims_.find(address);
   if (at == claims_.end() || at->second.size() < 2) return false;
   const std::uint64_t own = at->second.find(server)->second;
@@ -123,7 +124,7 @@
                      [&](const auto& other) { return other.first != server && other.second >= own; });
 }
 
-bool Book::usable(std::string_view name, const Address& address) const {
+bool AddressBook::is_usable(std::string_view name, const Address& address) const {
   const auto at = servers_.find(name);
   if (at == servers_.end()) return false;
   const std::vector<Known>& known = at->second.known;
@@ -134,7 +135,7 @@
 
 // Sound before doubted; the sound ones by the operator's preference and then as they were named, the doubted
 // ones by how long they have been left alone.
-std::vector<const Book::Known*> Book::ranked(std::string_view name) const {
+std::vector<const AddressBook::Known*> AddressBook::ranked(std::string_view name) const {
   std::vector<const Known*> out;
   const auto at = servers_.find(name);
   if (at == servers_.end()) return out;
@@ -149,18 +150,18 @@
   return out;
 }
 
-std::vector<Address> Book::order(std::string_view server) const {
+std::vector<Address> AddressBook::dial_order(std::string_view server) const {
   std::vector<Address> out;
   for (const Known* known : ranked(server)) out.push_back(known->address);
   return out;
 }
 
-std::size_t Book::preference(Family family) const {
+std::size_t AddressBook::preference(Family family) const {
   return static_cast<std::size_t>(std::find(rules_.prefer.begin(), rules_.prefer.end(), family) -
                                   rules_.prefer.begin());
 }
 
-Book::Known* Book::find(std::string_view name, const Address& address) {
+AddressBook::Known* AddressBook::find(std::string_view name, const Address& address) {
   const auto at = servers_.find(name);
   if (at == servers_.end()) return nullptr;
   for (Known& known : at->second.known) {
@@ -171,25 +172,25 @@
 
 // ---- races ----
 
-Book::RaceId Book::begin(std::string_view server, Duration now) {
+AddressBook::RaceId AddressBook::begin_race(std::string_view server, Duration now) {
   Race race;
   race.server = server;
-  race.left = order(server);
+  race.left = dial_order(server);
   race.several = race.left.size() > 1;
   std::reverse(race.left.begin(), race.left.end());
   race.limit = now + (race.several ? std::max(rules_.race, rules_.attempt) : rules_.attempt);
-  tally_.races += 1;
+  counters_.races += 1;
   const RaceId id = next_race_++;
   races_.emplace(id, std::move(race));
   return id;
 }
 
-Step Book::next(RaceId id, Duration now) {
+RaceStep AddressBook::next_step(RaceId id, Duration now) {
   Race& race = races_.at(id);
-  Step step;
+  RaceStep step;
   const auto lost = [&] {
-    step.what = Step::What::lost;
-    if (!race.decided) tally_.races_lost += 1;
+    step.action = RaceStep::Action::lost;
+    if (!race.decided) counters_.races_lost += 1;
     race.decided = true;
     return step;
   };
@@ -199,9 +200,9 @@
   for (Attempt& attempt : race.attempts) {
     if (!attempt.out) continue;
     if (now >= attempt.limit) {
-      step.what = Step::What::abandon;
+      step.action = RaceStep::Action::abandon;
       step.attempt = attempt.number;
-      ended(id, attempt.number, End::hung, now);
+      on_attempt_ended(id, attempt.number, AttemptOutcome::timed_out, now);
       return step;
     }
     ++out;
@@ -209,7 +210,7 @@
   }
   if (now >= race.limit) return lost();
   // What the list took away while this race was on is not dialled any more.
-  while (!race.left.empty() && !usable(race.server, race.left.back())) race.left.pop_back();
+  while (!race.left.empty() && !is_usable(race.server, race.left.back())) race.left.pop_back();
   if (race.left.empty() && out == 0) return lost();
   if (!race.left.empty() && out < rules_.at_once) {
     const Duration due =
@@ -225,29 +226,29 @@
       race.left.pop_back();
       race.attempts.push_back(attempt);
       race.hurry = false;
-      tally_.dials += 1;
-      step.what = Step::What::dial;
+      counters_.dials += 1;
+      step.action = RaceStep::Action::dial;
       step.attempt = attempt.number;
       step.to = attempt.to;
-      step.prove = race.several &&
-                   (rules_.prove == Prove::always || (rules_.prove == Prove::in_doubt && !known.proven));
+      step.needs_proof = race.several && (rules_.prove == ProofPolicy::always ||
+                                          (rules_.prove == ProofPolicy::in_doubt && !known.proven));
       return step;
     }
     wake = std::min(wake, due);
   }
-  step.until = wake;
+  step.wait_until = wake;
   return step;
 }
 
-void Book::ended(RaceId id, int number, End end, Duration now) {
+void AddressBook::on_attempt_ended(RaceId id, int number, AttemptOutcome end, Duration now) {
   Race& race = races_.at(id);
   Attempt& attempt = race.attempts[static_cast<std::size_t>(number)];
   if (!attempt.out) return;
   attempt.out = false;
   Known* const known = find(race.server, attempt.to);
-  if (end == End::came_up) {
+  if (end == AttemptOutcome::connected) {
     race.decided = true;
-    if (number > 0) tally_.second_choice += 1;
+    if (number > 0) counters_.second_choice += 1;
     if (known == nullptr || !race.several) return;
     learn(*known, now - attempt.started);
     // One that lost its head start is in doubt until a trial of its own passes; otherwise each new connection
@@ -260,7 +261,7 @@
     good(*known);
     return;
   }
-  if (end == End::no_room || end == End::not_needed) {
+  if (end == AttemptOutcome::no_local_resources || end == AttemptOutcome::not_needed) {
     race.hurry = true;
     return;
   }
@@ -268,14 +269,14 @@
   if (known != nullptr && race.several) fault(race.server, *known, now);
 }
 
-void Book::over(RaceId race) { races_.erase(race); }
+void AddressBook::end_race(RaceId race) { races_.erase(race); }
 
-Duration Book::stagger_for(const Known& known) const {
+Duration AddressBook::stagger_for(const Known& known) const {
   if (known.smoothed == Duration::zero()) return rules_.stagger;
   return std::clamp(known.smoothed + kMargin * known.spread, rules_.stagger_least, rules_.stagger);
 }
 
-void Book::learn(Known& known, Duration took) {
+void AddressBook::learn(Known& known, Duration took) {
   took = std::max(took, Duration(1));
   if (known.smoothed == Duration::zero()) {
     known.smoothed = took;
@@ -289,9 +290,9 @@
 
 // ---- what is known ----
 
-void Book::good(Known& known) { known.proven = true; }
+void AddressBook::good(Known& known) { known.proven = true; }
 
-void Book::fault(const std::string& server, Known& known, Duration now) {
+void AddressBook::fault(const std::string& server, Known& known, Duration now) {
   const auto at = servers_.find(server);
   if (at == servers_.end() || at->second.known.size() < 2) return;
   if (known.doubted && known.retry_at > now && !known.on_trial) {
@@ -305,7 +306,7 @@
   known.hold = hold;
   known.last_fault = now;
   known.proven = false;
-  if (!known.doubted) tally_.doubts += 1;
+  if (!known.doubted) counters_.doubts += 1;
   forget_doubt(server, known);
   known.doubted = true;
   // A fifth earlier or later, so that addresses which failed together are not tried together.
@@ -314,54 +315,55 @@
   due_.insert({known.retry_at, {server, known.address}});
 }
 
-void Book::forget_doubt(const std::string& server, Known& known) {
+void AddressBook::forget_doubt(const std::string& server, Known& known) {
   if (!known.doubted) return;
   due_.erase({known.retry_at, {server, known.address}});
   known.doubted = false;
 }
 
-void Book::spoke(std::string_view server, const Address& address) {
+void AddressBook::on_response(std::string_view server, const Address& address) {
   if (Known* const known = find(server, address)) good(*known);
 }
 
-void Book::failed(std::string_view server, const Address& address, End end, Duration now) {
-  if (end != End::reset_early && end != End::silent) return;
+void AddressBook::on_connection_failed(std::string_view server, const Address& address, AttemptOutcome end,
+                                       Duration now) {
+  if (end != AttemptOutcome::reset_early && end != AttemptOutcome::unresponsive) return;
   if (Known* const known = find(server, address)) fault(std::string(server), *known, now);
 }
 
 // ---- trials ----
 
-std::optional<Trial> Book::next_trial(Duration now) {
+std::optional<Trial> AddressBook::next_trial(Duration now) {
   while (!due_.empty() && due_.begin()->first <= now && trials_ < rules_.trials_at_once) {
     const auto [at, key] = *due_.begin();
     due_.erase(due_.begin());
     Known* const known = find(key.first, key.second);
     if (known == nullptr) continue;
     // A server that takes nothing new is left alone; its addresses stay in doubt.
-    if (known->on_trial || !servers_.find(key.first)->second.up || !usable(key.first, key.second)) {
+    if (known->on_trial || !servers_.find(key.first)->second.up || !is_usable(key.first, key.second)) {
       known->retry_at = now + rules_.hold;
       due_.insert({known->retry_at, key});
       continue;
     }
     known->on_trial = true;
     ++trials_;
-    tally_.trials += 1;
+    counters_.trials += 1;
     return Trial{key.first, key.second, rules_.attempt};
   }
   return std::nullopt;
 }
 
-void Book::trial_ended(const Trial& trial, End end, Duration took, Duration now) {
+void AddressBook::on_trial_ended(const Trial& trial, AttemptOutcome end, Duration took, Duration now) {
   --trials_;
   Known* const known = find(trial.server, trial.to);
   // Taken away meanwhile, and perhaps named again, or proved by a race.
   if (known == nullptr || !known->on_trial) return;
-  if (end == End::came_up) {
-    tally_.trials_passed += 1;
+  if (end == AttemptOutcome::connected) {
+    counters_.trials_passed += 1;
     learn(*known, took);
     forget_doubt(trial.server, *known);
     good(*known);
-  } else if (end == End::no_room || end == End::not_needed) {
+  } else if (end == AttemptOutcome::no_local_resources || end == AttemptOutcome::not_needed) {
     if (known->doubted) {
       due_.erase({known->retry_at, {trial.server, trial.to}});
       known->retry_at = now + rules_.hold;
@@ -373,12 +375,12 @@
   known->on_trial = false;
 }
 
-std::optional<Duration> Book::next_trial_at() const {
+std::optional<Duration> AddressBook::next_trial_time() const {
   if (due_.empty() || trials_ >= rules_.trials_at_once) return std::nullopt;
   return due_.begin()->first;
 }
 
-std::string Book::describe(std::string_view server, Duration now) const {
+std::string AddressBook::describe(std::string_view server, Duration now) const {
   std::string out;
   for (const Known* known : ranked(server)) {
     if (!out.empty()) out += ", ";
--- a/src/addresses/book.h
+++ b/src/addresses/address_book.h
@@ -26,12 +26,12 @@
 using net::Address;
 using net::Family;
 
-inline constexpr std::size_t kMostAddresses = 8;  // of one server; those beyond it are not used
+inline constexpr std::size_t kMaxAddressesPerServer = 8;  // of one server; those beyond it are not used
 
-enum class Prove { never, in_doubt, always };
+enum class ProofPolicy { never, in_doubt, always };
 
 // The operator's figures. Times are spans of the program's clock.
-struct Rules {
+struct ConnectSettings {
   std::vector<Family> prefer{Family::local, Family::ip6, Family::ip4};  // each at most once; others come last
   Duration attempt{250'000};  // an attempt's limit, its proof included
   Duration race{1'000'000};   // a whole race's limit where there are several addresses
@@ -42,28 +42,28 @@
   Duration hold{1'000'000};  // an address in doubt is tried again after this, doubling with each failure
   Duration hold_most{60'000'000};
   int trials_at_once = 4;  // of all servers together
-  Prove prove = Prove::in_doubt;
+  ProofPolicy prove = ProofPolicy::in_doubt;
 };
 
 // How an attempt, a trial or a connection ended, as far as it says something of the address.
-enum class End {
-  came_up,      // and spoke, where it was to prove itself
-  refused,      // or unreachable: a clear no
-  hung,         // neither came up nor failed within its limit
-  reset_early,  // came up and ended before anything was heard
-  silent,       // came up and did not answer what it was given
-  no_room,      // no descriptor or a full backlog on this machine: says nothing of the address
-  not_needed    // another one won, or the server is no longer wanted
+enum class AttemptOutcome {
+  connected,           // and spoke, where it was to prove itself
+  refused,             // or unreachable: a clear no
+  timed_out,           // neither came up nor failed within its limit
+  reset_early,         // came up and ended before anything was heard
+  unresponsive,        // came up and did not answer what it was given
+  no_local_resources,  // no descriptor or a full backlog on this machine: says nothing of the address
+  not_needed           // another one won, or the server is no longer wanted
 };
-std::string_view name_of(End end);
-
-struct Step {
-  enum class What { dial, abandon, wait, lost };
-  What what = What::wait;
-  int attempt = 0;     // dial, abandon: its number within the race
-  Address to;          // dial
-  bool prove = false;  // dial: it wins only once it has answered a probe
-  Duration until{};    // wait: ask again then, or when an attempt ended
+std::string_view name_of(AttemptOutcome end);
+
+struct RaceStep {
+  enum class Action { dial, abandon, wait, lost };
+  Action action = Action::wait;
+  int attempt = 0;           // dial, abandon: its number within the race
+  Address to;                // dial
+  bool needs_proof = false;  // dial: it wins only once it has answered a probe
+  Duration wait_until{};     // wait: ask again then, or when an attempt ended
 };
 
 struct Trial {
@@ -72,61 +72,62 @@
   Duration limit{};  // the time it may take, its proof included
 };
 
-struct Tally {
+struct Counters {
   std::uint64_t races = 0, dials = 0, races_lost = 0, second_choice = 0, trials = 0, trials_passed = 0,
                 doubts = 0, contested = 0;
 };
 
-class Book {
+class AddressBook {
  public:
   using RaceId = std::uint64_t;
 
-  Book(const Rules& rules, std::uint32_t seed) : rules_(rules), chance_(seed) {}
+  AddressBook(const ConnectSettings& rules, std::uint32_t seed) : rules_(rules), chance_(seed) {}
 
   // ---- membership ----
   // One piece of news: opens, rows, closes. A whole list forgets servers it does not name.
-  void news_opens(bool whole);
-  void listed(const std::string& server, bool up, std::vector<Address> addresses);
-  void stays(std::string_view server);  // as it is, where it is known at all
-  void gone(const std::string& server);
-  void news_closes();
+  void begin_update(bool whole);
+  void update_server(const std::string& server, bool up, std::vector<Address> addresses);
+  void keep_server(std::string_view server);  // as it is, where it is known at all
+  void remove_server(const std::string& server);
+  void finish_update();
 
   // The operator's own addresses, by server: beside what the list says or in place of it. Takes the place of
   // what was configured before; what is known of addresses that stay is kept.
-  struct Configured {
-    bool instead = false;
+  struct ServerOverride {
+    bool replaces_listed = false;
     std::vector<Address> addresses;
   };
-  void configure(const Rules& rules, std::map<std::string, Configured, std::less<>> configured);
+  void configure(const ConnectSettings& rules, std::map<std::string, ServerOverride, std::less<>> configured);
 
   // New sends may go over a connection to it: the server has it, and no other has a newer claim to it.
-  bool usable(std::string_view server, const Address& address) const;
+  bool is_usable(std::string_view server, const Address& address) const;
   // Usable addresses in the order a race would take them now.
-  std::vector<Address> order(std::string_view server) const;
+  std::vector<Address> dial_order(std::string_view server) const;
 
   // ---- races: one for each connection that is to be opened ----
-  RaceId begin(std::string_view server, Duration now);
+  RaceId begin_race(std::string_view server, Duration now);
   // Pulled until it says wait or lost.
-  Step next(RaceId race, Duration now);
+  RaceStep next_step(RaceId race, Duration now);
   // Connected, but yet to prove itself: its time goes on.
-  void ended(RaceId race, int attempt, End end, Duration now);
+  void on_attempt_ended(RaceId race, int attempt, AttemptOutcome end, Duration now);
   // The race is over for the connection layer; attempts that have not ended are to be closed by it.
-  void over(RaceId race);
+  void end_race(RaceId race);
 
   // ---- connections ----
-  void spoke(std::string_view server, const Address& address);  // something was heard on one
+  void on_response(std::string_view server, const Address& address);  // something was heard on one
   // One that came up ended, or kept silent, before anything was ever heard on it.
-  void failed(std::string_view server, const Address& address, End end, Duration now);
+  void on_connection_failed(std::string_view server, const Address& address, AttemptOutcome end,
+                            Duration now);
 
   // ---- trials: addresses in doubt are dialled and asked without a part ----
   std::optional<Trial> next_trial(Duration now);
-  void trial_ended(const Trial& trial, End end, Duration took, Duration now);
+  void on_trial_ended(const Trial& trial, AttemptOutcome end, Duration took, Duration now);
   // When next_trial() may have something again; none while nothing is in doubt or as many run as may.
-  std::optional<Duration> next_trial_at() const;
+  std::optional<Duration> next_trial_time() const;
 
-  const Tally& tally() const { return tally_; }
-  std::size_t servers() const { return servers_.size(); }
-  std::size_t racing() const { return races_.size(); }
+  const Counters& counters() const { return counters_; }
+  std::size_t server_count() const { return servers_.size(); }
+  std::size_t race_count() const { return races_.size(); }
   std::string describe(std::string_view server, Duration now) const;  // a line for logs and traces
 
  private:
@@ -177,10 +178,10 @@
   void forget_doubt(const std::string& server, Known& known);
   std::size_t preference(Family family) const;
 
-  Rules rules_;
+  ConnectSettings rules_;
   std::mt19937 chance_;
   std::map<std::string, Server, std::less<>> servers_;
-  std::map<std::string, Configured, std::less<>> configured_;
+  std::map<std::string, ServerOverride, std::less<>> configured_;
   std::map<Address, std::map<std::string, std::uint64_t>> claims_;  // who named it, since which news
   std::map<RaceId, Race> races_;
   std::set<std::pair<Duration, std::pair<std::string, Address>>> due_;  // addresses in doubt, by retry_at
@@ -188,7 +189,7 @@
   std::uint64_t news_ = 0;
   bool whole_ = false;
   int trials_ = 0;
-  Tally tally_;
+  Counters counters_;
 };
 
 }  // namespace marbledyke::addresses
--- a/src/carrier/carrier.cpp
+++ b/src/carrier/carrier.cpp
@@ -18,7 +18,7 @@
 struct Carrier::Link {
   std::uint64_t number = 0;
   std::string server;
-  std::unique_ptr<Talk> talk;
+  std::unique_ptr<ProtocolSession> session;
   std::unique_ptr<net::Stream> stream;
   std::vector<net::Address> left;  // to be dialled, the next one last
   net::Address address;
@@ -27,13 +27,13 @@
   std::optional<net::Loop::Timer> limit, idle;
 };
 
-Carrier::Carrier(net::Loop& loop, const config::Carriage& carriage, MakeTalk make_talk,
+Carrier::Carrier(net::Loop& loop, const config::Carriage& carriage, SessionFactory make_session,
                  std::function<bool()> make_room)
     : loop_(loop),
       carriage_(carriage),
-      make_talk_(make_talk),
+      make_session_(make_session),
       make_room_(std::move(make_room)),
-      leaving_(kLeavingHold) {}
+      closing_servers_(kClosingServerHold) {}
 
 Carrier::~Carrier() {
   for (const auto& [number, link] : links_) {
@@ -45,34 +45,35 @@
   }
 }
 
-void Carrier::serve(std::map<std::string, std::string, std::less<>> databases) {
+void Carrier::set_databases(std::map<std::string, std::string, std::less<>> databases) {
   databases_ = std::move(databases);
 }
 
-void Carrier::bury() {
+void Carrier::destroy_closed() {
   graves_.clear();
   stream_graves_.clear();
 }
 
 // ---- membership ----
 
-void Carrier::listed(const list::News& news) {
-  if (news.whole) {
-    for (auto& [name, known] : servers_) known.up = known.up && news.unreadable.contains(name);
+void Carrier::apply_list_update(const list::ListUpdate& news) {
+  if (news.is_snapshot) {
+    for (auto& [name, known] : servers_) known.up = known.up && news.unreadable_servers.contains(name);
   }
-  for (const list::Entry& entry : news.entries) {
+  for (const list::ServerEntry& entry : news.entries) {
     const std::string& name = entry.row.server;
     if (!databases_.contains(name)) continue;
     Known& known = servers_[name];
     known.up = entry.row.standing == Standing::up;
     known.listed = entry.addresses;
     merge(name, known);
-    if (known.up) leaving_.listed_up(name);
+    if (known.up) closing_servers_.on_listed_up(name);
   }
   relist();
 }
 
-void Carrier::configure(std::map<std::string, addresses::Book::Configured, std::less<>> configured) {
+void Carrier::configure(
+    std::map<std::string, addresses::AddressBook::ServerOverride, std::less<>> configured) {
   configured_ = std::move(configured);
   for (auto& [name, known] : servers_) merge(name, known);
   relist();
@@ -83,7 +84,7 @@
   std::vector<net::Address> all;
   const auto own = configured_.find(name);
   if (own != configured_.end()) all = own->second.addresses;
-  if (own == configured_.end() || !own->second.instead) {
+  if (own == configured_.end() || !own->second.replaces_listed) {
     for (const net::Address& address : known.listed) {
       if (std::find(all.begin(), all.end(), address) == all.end()) all.push_back(address);
     }
@@ -119,34 +120,34 @@
                                     [&](const auto& one) { return one.second->server == name; });
     if (!linked) {
       servers_.erase(name);
-      leaving_.gone(name);
+      closing_servers_.remove(name);
     }
   }
 }
 
 // ---- parts ----
 
-void Carrier::call(const std::string& server, std::vector<servers::Errand> errands) {
-  for (servers::Errand& errand : errands) {
-    const Key key{errand.part, errand.send};
-    const Duration limit = errand.not_past;
+void Carrier::call(const std::string& server, std::vector<servers::SendRequest> requests) {
+  for (servers::SendRequest& request : requests) {
+    const Key key{request.part, request.send};
+    const Duration limit = request.deadline;
     Job& job = jobs_[key];
-    job.errand = std::move(errand);
-    tally_.parts += 1;
+    job.request = std::move(request);
+    counters_.parts += 1;
     const auto at = servers_.find(server);
-    if (at == servers_.end() || !at->second.up || at->second.waiting.size() >= kMostWaiting) {
+    if (at == servers_.end() || !at->second.up || at->second.waiting.size() >= kMaxQueuedParts) {
       end(key, Fate::dial_failed);
       continue;
     }
-    if (!leaving_.takes(server, loop_.now())) {
+    if (!closing_servers_.accepts_sends(server, loop_.now())) {
       end(key, Fate::pushed_back);
       continue;
     }
-    job.expiry = loop_.at(limit, [this, key] {
+    job.expiry = loop_.call_at(limit, [this, key] {
       const auto late = jobs_.find(key);
       if (late == jobs_.end()) return;
       late->second.expiry.reset();
-      give_up(key, when_late(late->second.stage));
+      give_up(key, fate_on_deadline(late->second.stage));
     });
     at->second.waiting.push_back(key);
     next(server);
@@ -162,15 +163,15 @@
   for (const auto& [number, link] : links_) {
     if (link->server != server) continue;
     open += 1;
-    coming += link->up && link->talk->ready() ? 0 : link->job ? 0 : 1;
+    coming += link->up && link->session->is_ready() ? 0 : link->job ? 0 : 1;
   }
   for (std::size_t i = 0; i < waiting.size();) {
     const Key key = waiting[i];
-    const bool once = jobs_.at(key).errand.once;
+    const bool once = jobs_.at(key).request.non_retriable;
     Link* best = nullptr;
     for (const auto& [number, link] : links_) {
       if (link->server == server && link->up && !link->leaving && !link->job && !link->cancelling &&
-          link->talk->ready() && may_share(once, link->used))
+          link->session->is_ready() && can_reuse_connection(once, link->used))
         best = link.get();  // the newest: the others come to their idle end
     }
     if (best != nullptr) {
@@ -183,7 +184,7 @@
       coming -= 1;  // one is on its way for it
       continue;
     }
-    if (!may_open(open, kMostLinks)) {
+    if (!can_open_connection(open, kMaxConnectionsPerServer)) {
       // A used one that idles makes room for a fresh one.
       Link* spare = nullptr;
       for (const auto& [number, link] : links_) {
@@ -212,7 +213,7 @@
   for (std::size_t i = known.addresses.size(); i-- > 0;)
     link.left.push_back(known.addresses[(known.first + i) % known.addresses.size()]);
   links_.emplace(link.number, std::move(made));
-  tally_.opened += 1;
+  counters_.opened += 1;
   if (next_address(link)) return true;
   close(link);
   return false;
@@ -235,9 +236,9 @@
     const std::uint64_t number = link.number;
     link.stream = std::make_unique<net::Stream>(
         loop_, std::move(fd), false, kMostIn, kMostOut,
-        net::Stream::Told{[this, &link] { came_up(link); }, [this, &link] { arrived(link); },
-                          [this, &link] { drained(link); }, [this, &link](bool) { broke(link); }});
-    link.limit = loop_.at(loop_.now() + carriage_.connect_timeout, [this, number] {
+        net::Stream::Callbacks{[this, &link] { came_up(link); }, [this, &link] { arrived(link); },
+                               [this, &link] { drained(link); }, [this, &link](bool) { broke(link); }});
+    link.limit = loop_.call_at(loop_.now() + carriage_.connect_timeout, [this, number] {
       const auto at = links_.find(number);
       if (at == links_.end()) return;
       at->second->limit.reset();
@@ -253,12 +254,12 @@
   if (link.ended || (!link.up && next_address(link))) return;
   if (link.job) {
     const Key key = *link.job;
-    const Said said = link.talk->over();
+    const SessionEvent said = link.session->on_connection_closed();
     link.job.reset();
-    if (said.what == Said::What::answered) {
+    if (said.kind == SessionEvent::Kind::answered) {
       end(key, Fate::returned, said.value);
     } else {
-      end(key, when_broken(jobs_.at(key).stage));
+      end(key, fate_on_disconnect(jobs_.at(key).stage));
     }
   }
   const std::string server = link.server;
@@ -282,11 +283,11 @@
     if (at != known.addresses.end()) known.first = static_cast<std::size_t>(at - known.addresses.begin());
   }
   const std::string& database = databases_.find(link.server)->second;
-  link.talk = make_talk_(link.server, database, link.address.text());
-  const std::string hello = link.talk->hello();
+  link.session = make_session_(link.server, database, link.address.text());
+  const std::string hello = link.session->greeting();
   if (!hello.empty()) {
     // The time to connect has the greeting in it.
-    link.stream->out().put(hello);
+    link.stream->out().append(hello);
     link.stream->flush();
     return;
   }
@@ -297,10 +298,10 @@
 
 void Carrier::begin(Link& link, const Key& key) {
   Job& job = jobs_.at(key);
-  const std::string request = link.talk->ask(*job.errand.text, job.errand.shard);
+  const std::string request = link.session->format_request(*job.request.text, job.request.shard);
   if (request.empty()) {
     // Nothing has been written. Another server of the kind could do no more.
-    std::string words = link.talk->declined();
+    std::string words = link.session->unsupported_reply();
     end(key, words.empty() ? Fate::app_error : Fate::returned, std::move(words));
     return;
   }
@@ -309,42 +310,42 @@
   link.job = key;
   link.used = true;
   job.link = link.number;
-  job.stage = Stage::writing;
-  if (!link.stream->out().put(request)) return broke(link);
+  job.stage = SendStage::writing;
+  if (!link.stream->out().append(request)) return broke(link);
   link.stream->flush();
 }
 
 void Carrier::drained(Link& link) {
   if (!link.job || !link.stream->out().empty()) return;
   const auto at = jobs_.find(*link.job);
-  if (at != jobs_.end() && at->second.stage == Stage::writing) at->second.stage = Stage::written;
+  if (at != jobs_.end() && at->second.stage == SendStage::writing) at->second.stage = SendStage::written;
 }
 
 void Carrier::arrived(Link& link) {
-  net::Ring& in = link.stream->in();
-  while (!link.ended && !link.stream->closed() && !in.empty()) {
-    Said said;
-    const std::size_t used = link.talk->take(in.front(), said);
-    in.drop(used);
-    switch (said.what) {
-      case Said::What::nothing: {
-        const std::string more = link.talk->more();
+  net::RingBuffer& in = link.stream->in();
+  while (!link.ended && !link.stream->is_closed() && !in.empty()) {
+    SessionEvent said;
+    const std::size_t used = link.session->feed(in.front(), said);
+    in.consume(used);
+    switch (said.kind) {
+      case SessionEvent::Kind::none: {
+        const std::string more = link.session->next_output();
         if (!more.empty()) {
-          link.stream->out().put(more);
+          link.stream->out().append(more);
           link.stream->flush();
         }
         if (used == 0) return;
         break;
       }
-      case Said::What::ready:
+      case SessionEvent::Kind::ready:
         if (link.limit) loop_.cancel(*link.limit);
         link.limit.reset();
         link.cancelling = false;
         free(link);
         break;
-      case Said::What::answered:
-      case Said::What::refused:
-      case Said::What::failed: {
+      case SessionEvent::Kind::answered:
+      case SessionEvent::Kind::refused:
+      case SessionEvent::Kind::failed: {
         if (!link.job) {
           // An answer to what was given up.
           link.cancelling = false;
@@ -354,23 +355,24 @@
         const Key key = *link.job;
         link.job.reset();
         end(key,
-            said.what == Said::What::answered  ? Fate::returned
-            : said.what == Said::What::refused ? Fate::pushed_back
-                                               : Fate::app_error,
+            said.kind == SessionEvent::Kind::answered  ? Fate::returned
+            : said.kind == SessionEvent::Kind::refused ? Fate::pushed_back
+                                                       : Fate::app_error,
             std::move(said.value));
         if (!link.ended) free(link);
         break;
       }
-      case Said::What::leaving:
-        tally_.closed_by_server += 1;
-        leaving_.said(link.server, loop_.now());
+      case SessionEvent::Kind::server_closing:
+        counters_.closed_by_server += 1;
+        closing_servers_.on_server_closing(link.server, loop_.now());
         link.leaving = true;
-        log::event(log::Level::info, "carrier.server_leaves", {{"server", link.server}, {"why", said.why}});
+        log::event(log::Level::info, "carrier.server_leaves",
+                   {{"server", link.server}, {"why", said.reason}});
         return broke(link);
-      case Said::What::broken: {
-        tally_.out_of_step += 1;
+      case SessionEvent::Kind::protocol_error: {
+        counters_.out_of_step += 1;
         static log::Throttled throttled(log::Level::warning, "carrier.out_of_step");
-        throttled.event({{"server", link.server}, {"why", said.why}});
+        throttled.event({{"server", link.server}, {"why", said.reason}});
         return broke(link);
       }
     }
@@ -387,7 +389,7 @@
   }
   const std::uint64_t number = link.number;
   if (link.idle) loop_.cancel(*link.idle);
-  link.idle = loop_.at(loop_.now() + carriage_.idle / 2, [this, number] {
+  link.idle = loop_.call_at(loop_.now() + carriage_.idle / 2, [this, number] {
     const auto at = links_.find(number);
     if (at == links_.end() || at->second->job) return;
     at->second->idle.reset();
@@ -403,9 +405,9 @@
   link.limit.reset();
   link.idle.reset();
   if (link.stream) {
-    if (link.up && link.talk && !link.stream->closed()) {
-      const std::string goodbye = link.talk->goodbye();
-      if (!goodbye.empty() && link.stream->out().put(goodbye)) link.stream->flush();
+    if (link.up && link.session && !link.stream->is_closed()) {
+      const std::string goodbye = link.session->closing_bytes();
+      if (!goodbye.empty() && link.stream->out().append(goodbye)) link.stream->flush();
     }
     link.stream->close();
   }
@@ -421,18 +423,19 @@
   const auto at = jobs_.find(key);
   if (!must_hold(at != jobs_.end(), "a part on a carrier has one fate")) return;
   if (at->second.expiry) loop_.cancel(*at->second.expiry);
-  servers::Ended out;
+  servers::SendResult out;
   out.part = key.first;
   out.send = key.second;
   out.fate = fate;
-  out.elapsed = loop_.now() - at->second.errand.pulled;
+  out.elapsed = loop_.now() - at->second.request.issued_at;
   out.score = 1;
   out.value = std::move(value);
   jobs_.erase(at);
-  std::uint64_t* const counts[] = {&tally_.answered,      &tally_.failed,  &tally_.refused, &tally_.expired,
-                                   &tally_.not_connected, &tally_.dropped, &tally_.revoked, &tally_.unused};
+  std::uint64_t* const counts[] = {&counters_.answered, &counters_.failed,        &counters_.refused,
+                                   &counters_.expired,  &counters_.not_connected, &counters_.dropped,
+                                   &counters_.revoked,  &counters_.unused};
   *counts[static_cast<std::size_t>(fate)] += 1;
-  ended.push_back(std::move(out));
+  finished_sends.push_back(std::move(out));
 }
 
 void Carrier::give_up(const Key& key, Fate fate) {
@@ -443,22 +446,22 @@
     return end(key, fate);
   }
   Link& link = *at->second;
-  const Stage stage = job.stage;
+  const SendStage stage = job.stage;
   link.job.reset();
   end(key, fate);
   // A request that is partly written cannot be taken back on a connection that lives on.
-  const std::string cancel = stage == Stage::written ? link.talk->cancel() : std::string();
-  if (cancel.empty() || !link.stream->out().put(cancel)) {
+  const std::string cancel = stage == SendStage::written ? link.session->format_cancel() : std::string();
+  if (cancel.empty() || !link.stream->out().append(cancel)) {
     const std::string server = link.server;
     close(link);
     return next(server);
   }
-  tally_.cancelled += 1;
+  counters_.cancelled += 1;
   link.cancelling = true;
   link.stream->flush();
   // A cancel that is not answered soon is no better than silence.
   const std::uint64_t number = link.number;
-  link.limit = loop_.at(loop_.now() + carriage_.connect_timeout, [this, number] {
+  link.limit = loop_.call_at(loop_.now() + carriage_.connect_timeout, [this, number] {
     const auto still = links_.find(number);
     if (still == links_.end()) return;
     still->second->limit.reset();
@@ -468,21 +471,22 @@
   });
 }
 
-bool Carrier::withdraw(const Rid& part, int send) {
+bool Carrier::cancel_send(const Rid& part, int send) {
   const auto at = jobs_.find({part, send});
   if (at == jobs_.end()) return false;
-  give_up(at->first, when_withdrawn(at->second.stage));
+  give_up(at->first, fate_on_cancel(at->second.stage));
   return true;
 }
 
 // These protocols have no word for load: whether the server is there is what can be told.
 void Carrier::probe(const std::string& server) {
-  servers::Probed out;
+  servers::ProbeResult out;
   out.server = server;
   const auto at = servers_.find(server);
-  out.fate = at != servers_.end() && at->second.up && leaving_.takes(server, loop_.now()) ? Fate::returned
-                                                                                          : Fate::dial_failed;
-  probed.push_back(std::move(out));
+  out.fate = at != servers_.end() && at->second.up && closing_servers_.accepts_sends(server, loop_.now())
+                 ? Fate::returned
+                 : Fate::dial_failed;
+  finished_probes.push_back(std::move(out));
 }
 
 }  // namespace marbledyke::carrier
--- a/src/carrier/carrier.h
+++ b/src/carrier/carrier.h
@@ -10,50 +10,50 @@
 #include <vector>
 
 #include "carrier/fates.h"
-#include "carrier/talk.h"
+#include "carrier/protocol_session.h"
 #include "config/commission.h"
-#include "list/news.h"
+#include "list/list_update.h"
 #include "net/loop.h"
 #include "net/socket.h"
-#include "servers/servers.h"
+#include "servers/shard_server_pool.h"
 
 namespace marbledyke::carrier {
 
-struct Tally {
+struct Counters {
   std::uint64_t opened = 0, parts = 0, answered = 0, refused = 0, failed = 0, dropped = 0, not_connected = 0,
                 expired = 0, revoked = 0, unused = 0, cancelled = 0, closed_by_server = 0, out_of_step = 0;
 };
 
 class Carrier {
  public:
-  Carrier(net::Loop& loop, const config::Carriage& carriage, MakeTalk make_talk,
+  Carrier(net::Loop& loop, const config::Carriage& carriage, SessionFactory make_session,
           std::function<bool()> make_room);
   ~Carrier();
 
   // The servers that this carrier is for, with the databases' names there.
-  void serve(std::map<std::string, std::string, std::less<>> databases);
+  void set_databases(std::map<std::string, std::string, std::less<>> databases);
   bool serves(std::string_view server) const { return databases_.contains(server); }
 
   // The operator's own addresses of servers: beside those of the list, or in their place.
-  void configure(std::map<std::string, addresses::Book::Configured, std::less<>> configured);
+  void configure(std::map<std::string, addresses::AddressBook::ServerOverride, std::less<>> configured);
 
-  void listed(const list::News& news);
-  void call(const std::string& server, std::vector<servers::Errand> errands);
-  bool withdraw(const Rid& part, int send);  // false: it is not here
+  void apply_list_update(const list::ListUpdate& news);
+  void call(const std::string& server, std::vector<servers::SendRequest> requests);
+  bool cancel_send(const Rid& part, int send);  // false: it is not here
   void probe(const std::string& server);
-  void bury();
+  void destroy_closed();
 
-  std::vector<servers::Ended> ended;
-  std::vector<servers::Probed> probed;
+  std::vector<servers::SendResult> finished_sends;
+  std::vector<servers::ProbeResult> finished_probes;
 
-  const Tally& tally() const { return tally_; }
-  std::size_t connections() const { return links_.size(); }
+  const Counters& counters() const { return counters_; }
+  std::size_t connection_count() const { return links_.size(); }
 
  private:
   struct Link;
   struct Job {
-    servers::Errand errand;
-    Stage stage = Stage::waiting;
+    servers::SendRequest request;
+    SendStage stage = SendStage::waiting;
     std::uint64_t link = 0;
     std::optional<net::Loop::Timer> expiry;
   };
@@ -82,18 +82,18 @@
 
   net::Loop& loop_;
   const config::Carriage& carriage_;
-  MakeTalk make_talk_;
+  SessionFactory make_session_;
   std::function<bool()> make_room_;
   std::map<std::string, std::string, std::less<>> databases_;
-  std::map<std::string, addresses::Book::Configured, std::less<>> configured_;
+  std::map<std::string, addresses::AddressBook::ServerOverride, std::less<>> configured_;
   std::map<std::string, Known, std::less<>> servers_;
   std::map<Key, Job> jobs_;
   std::map<std::uint64_t, std::unique_ptr<Link>> links_;
   std::vector<std::unique_ptr<Link>> graves_;
   std::vector<std::unique_ptr<net::Stream>> stream_graves_;
   std::uint64_t next_link_ = 1;
-  Leaving leaving_;
-  Tally tally_;
+  ClosingServers closing_servers_;
+  Counters counters_;
 };
 
 }  // namespace marbledyke::carrier
--- a/src/carrier/fates.h
+++ b/src/carrier/fates.h
@@ -12,36 +12,40 @@
 
 namespace marbledyke::carrier {
 
-inline constexpr std::size_t kMostLinks = 16;       // to one server
-inline constexpr std::size_t kMostWaiting = 256;    // parts at one server
-inline constexpr Duration kLeavingHold{5'000'000};  // a server that leaves is left alone for so long
+inline constexpr std::size_t kMaxConnectionsPerServer = 16;  // to one server
+inline constexpr std::size_t kMaxQueuedParts = 256;          // parts at one server
+inline constexpr Duration kClosingServerHold{5'000'000};     // a server that leaves is left alone for so long
 
-enum class Stage {
-  waiting,   // for a connection
-  dialling,  // one is being opened for it
-  writing,   // some of its bytes may be gone
-  written    // all of them are
+enum class SendStage {
+  waiting,     // for a connection
+  connecting,  // one is being opened for it
+  writing,     // some of its bytes may be gone
+  written      // all of them are
 };
 
 // A connection that never came up, or broke before the last byte was written, brought nothing whole: it has
 // not run. After that it may have.
-constexpr Fate when_broken(Stage stage) {
-  return stage == Stage::written ? Fate::dropped : Fate::dial_failed;
+constexpr Fate fate_on_disconnect(SendStage stage) {
+  return stage == SendStage::written ? Fate::dropped : Fate::dial_failed;
 }
 
 // Its time is up. What was never written has cost nobody anything.
-constexpr Fate when_late(Stage stage) { return stage == Stage::written ? Fate::expired : Fate::unused; }
-constexpr Fate when_withdrawn(Stage stage) { return stage == Stage::written ? Fate::revoked : Fate::unused; }
+constexpr Fate fate_on_deadline(SendStage stage) {
+  return stage == SendStage::written ? Fate::expired : Fate::unused;
+}
+constexpr Fate fate_on_cancel(SendStage stage) {
+  return stage == SendStage::written ? Fate::revoked : Fate::unused;
+}
 
 // A server of which an association was closed in order, because it stops, takes nothing new until this is
 // over, or the list says anew that it is up: the protocol's own way to tell of a drain.
-class Leaving {
+class ClosingServers {
  public:
-  explicit Leaving(Duration hold) : hold_(hold) {}
-  void said(const std::string& server, Duration now) { until_[server] = now + hold_; }
-  void listed_up(const std::string& server) { until_.erase(server); }
-  void gone(const std::string& server) { until_.erase(server); }
-  bool takes(const std::string& server, Duration now) {
+  explicit ClosingServers(Duration hold) : hold_(hold) {}
+  void on_server_closing(const std::string& server, Duration now) { until_[server] = now + hold_; }
+  void on_listed_up(const std::string& server) { until_.erase(server); }
+  void remove(const std::string& server) { until_.erase(server); }
+  bool accepts_sends(const std::string& server, Duration now) {
     const auto at = until_.find(server);
     if (at == until_.end()) return true;
     if (now < at->second) return false;
@@ -57,9 +61,9 @@
 
 // Whether a part may go out on a connection that has been used before. Such a one may be closed by its server
 // at the very moment; what may not run twice gets one that is fresh, where closing can only be told apart.
-constexpr bool may_share(bool once, bool used) { return !(once && used); }
+constexpr bool can_reuse_connection(bool non_retriable, bool used) { return !(non_retriable && used); }
 
 // How many connections a server is given: one for each part under way, up to a bound.
-constexpr bool may_open(std::size_t open, std::size_t most) { return open < most; }
+constexpr bool can_open_connection(std::size_t open, std::size_t most) { return open < most; }
 
 }  // namespace marbledyke::carrier
--- a/src/clients/ask.cpp
+++ b/src/clients/ask.cpp
@@ -142,7 +142,7 @@
 
 std::string answer_text(int status, std::string_view body, bool stays, Duration come_back) {
   const bool json = status == 200 && body.starts_with('{');
-  return net::answer_text(status, json ? "application/json" : "text/plain", body, stays, come_back);
+  return net::format_response(status, json ? "application/json" : "text/plain", body, stays, come_back);
 }
 
 }  // namespace marbledyke::clients
--- a/src/clients/clients.cpp
+++ b/src/clients/clients.cpp
@@ -30,7 +30,7 @@
 struct Clients::Caller {
   std::uint64_t number = 0;
   std::unique_ptr<net::Stream> stream;
-  net::HttpReader reader{net::HttpReader::Kind::request, kMostBody};
+  net::HttpParser reader{net::HttpParser::Kind::request, kMostBody};
   Duration first_byte{};
   Duration since{};  // its last request was answered, or is being answered; before the first: it was accepted
   bool spoken = false;
@@ -59,14 +59,14 @@
 
 Clients::~Clients() { shut(); }
 
-void Clients::ready(bool, bool) { accept(); }
+void Clients::on_ready(bool, bool) { accept(); }
 
 bool Clients::accept() {
   more_to_accept_ = false;
   // A flood of connections waits its turn like everything else.
   for (int count = 0; listener_; ++count) {
     if (count == kAcceptsARound) {
-      loop_.at(loop_.now(), [this] { accept(); });
+      loop_.call_at(loop_.now(), [this] { accept(); });
       return true;
     }
     switch (accept_one()) {
@@ -85,11 +85,12 @@
 // Nobody is ended, and no descriptor is lent, unless somebody waits for it.
 Clients::Accepted Clients::accept_one() {
   const bool no_place = in_places() >= places();
-  if ((no_place || no_descriptor()) && !net::anybody_waits(listener_.get())) return Accepted::nobody;
+  if ((no_place || no_descriptor()) && !net::has_pending_connection(listener_.get())) return Accepted::nobody;
   bool at_door = no_place && !free_place();
-  if (no_descriptor() && !spare_.lend() && !free_descriptor([](const Caller& one) { return one.aside; }))
+  if (no_descriptor() && !spare_.release_one() &&
+      !free_descriptor([](const Caller& one) { return one.aside; }))
     return Accepted::no_room;
-  net::Descriptor fd = net::accept_from(listener_.get());
+  net::Descriptor fd = net::accept_connection(listener_.get());
   if (!fd && (errno == EMFILE || errno == ENFILE)) fd = accept_without_descriptors(at_door);
   if (fd) {
     greet(std::move(fd), at_door);
@@ -102,18 +103,18 @@
 // The process has no descriptor left, though there may be places: servers may hold them. One that can be
 // spared makes room; else it is lent for a refusal.
 net::Descriptor Clients::accept_without_descriptors(bool& at_door) {
-  if (!net::anybody_waits(listener_.get())) {
+  if (!net::has_pending_connection(listener_.get())) {
     errno = EAGAIN;
     return {};
   }
   if (!make_room()) {
     at_door = true;
-    if (!spare_.lend()) {
+    if (!spare_.release_one()) {
       errno = EMFILE;
       return {};
     }
   }
-  return net::accept_from(listener_.get());
+  return net::accept_connection(listener_.get());
 }
 
 void Clients::greet(net::Descriptor fd, bool at_door) {
@@ -127,10 +128,10 @@
   if (at_door) set_aside(*caller);
   caller->stream = std::make_unique<net::Stream>(
       loop_, std::move(fd), true, kMostBody, kMostAnswer,
-      net::Stream::Told{nullptr, [this, caller] { arrived(*caller); }, [this, caller] { drained(*caller); },
-                        [this, caller](bool) { close(*caller); }});
+      net::Stream::Callbacks{nullptr, [this, caller] { arrived(*caller); },
+                             [this, caller] { drained(*caller); }, [this, caller](bool) { close(*caller); }});
   // Refused in this same turn where it has asked already, so that the next one finds the descriptor free.
-  if (at_door) caller->stream->read_now();
+  if (at_door) caller->stream->read_available();
 }
 
 // Tried again when a connection ends, when one at the door has had its time to ask, and by sweep().
@@ -140,7 +141,7 @@
   throttled.event(
       {{"why", no_descriptor() ? "no place and no descriptor held back is free" : "no descriptor is left"}});
   if (std::exchange(accept_due_, true)) return;
-  loop_.at(loop_.now() + kTimeToAsk, [this] {
+  loop_.call_at(loop_.now() + kTimeToAsk, [this] {
     accept_due_ = false;
     accept();
   });
@@ -148,8 +149,8 @@
 
 // What was lent is held back again as soon as it can be; false: there is no descriptor to be had.
 bool Clients::refill() {
-  while (spare_.held() < held_back_ && !no_descriptor()) {
-    if (!spare_.take_back()) return false;
+  while (spare_.held_count() < held_back_ && !no_descriptor()) {
+    if (!spare_.reacquire_one()) return false;
   }
   return true;
 }
@@ -175,8 +176,8 @@
   for (auto at = callers_.begin(); at != callers_.end();) {
     Caller& caller = *(at++)->second;
     if (caller.aside || activity(caller) != Activity::silent) continue;
-    caller.stream->read_now();
-    if (caller.stream->closed()) return true;
+    caller.stream->read_available();
+    if (caller.stream->is_closed()) return true;
     if (activity(caller) != Activity::silent) continue;
     caller.at_door = true;
     set_aside(caller);
@@ -186,23 +187,23 @@
 }
 
 void Clients::arrived(Caller& caller) {
-  net::Ring& in = caller.stream->in();
+  net::RingBuffer& in = caller.stream->in();
   if (caller.parting) {
     // Beyond its bound the ring is left full and nothing more is read: 60 MB must not keep others waiting.
     caller.dropped += in.size();
     if (caller.dropped <= kMostDropped) in.clear();
     return;
   }
-  while (!caller.in_hand && !caller.answering && !caller.stream->closed() && !in.empty()) {
-    if (!caller.reader.begun()) caller.first_byte = loop_.now();
+  while (!caller.in_hand && !caller.answering && !caller.stream->is_closed() && !in.empty()) {
+    if (!caller.reader.has_started()) caller.first_byte = loop_.now();
     caller.spoken = true;
-    in.drop(caller.reader.take(in.front()));
-    if (caller.reader.state() == net::HttpReader::State::bad) {
+    in.consume(caller.reader.feed(in.front()));
+    if (caller.reader.state() == net::HttpParser::State::malformed) {
       caller.in_hand = true;
       static log::Throttled throttled(log::Level::info, "client.unreadable");
-      throttled.event({{"status", caller.reader.complaint()}});
-      say(caller, answer_text(caller.reader.complaint(), "the request cannot be read\n", false), false);
-    } else if (caller.reader.state() == net::HttpReader::State::done) {
+      throttled.event({{"status", caller.reader.error_status()}});
+      say(caller, answer_text(caller.reader.error_status(), "the request cannot be read\n", false), false);
+    } else if (caller.reader.state() == net::HttpParser::State::complete) {
       return request(caller);  // what is behind it waits until that one is answered
     }
   }
@@ -212,15 +213,17 @@
   caller.in_hand = true;
   const net::HttpMessage& message = caller.reader.message();
   const bool has_a_place = has_place(caller);
-  caller.stays = message.stays() && has_a_place;
-  const std::string path = message.second.substr(0, message.second.find('?'));
+  caller.stays = message.keeps_alive() && has_a_place;
+  const std::string path = message.target_or_status.substr(0, message.target_or_status.find('?'));
   if (path == "/healthz") {
-    if (message.first != "GET") return turn_away(caller.number, 405, "only GET is answered here\n");
+    if (message.method_or_version != "GET")
+      return turn_away(caller.number, 405, "only GET is answered here\n");
     if (leaving_) return turn_away(caller.number, 503, "stopping\n");
     return say(caller, answer_text(200, "serving\n", caller.stays), caller.stays);
   }
   if (path != "/api") return turn_away(caller.number, 404, "there is nothing here\n");
-  if (message.first != "POST") return turn_away(caller.number, 405, "only POST is answered here\n");
+  if (message.method_or_version != "POST")
+    return turn_away(caller.number, 405, "only POST is answered here\n");
   auto read = read_ask(message, carriage_);
   if (const Complaint* complaint = std::get_if<Complaint>(&read)) {
     static log::Throttled throttled(log::Level::info, "client.bad_request");
@@ -267,9 +270,9 @@
   caller.answering = true;
   caller.since = loop_.now();
   caller.stays = stays;
-  caller.reader.restart();
+  caller.reader.reset();
   // An answer that does not fit is none: the connection ends, and the client can tell.
-  if (!caller.stream->out().put(text)) return close(caller);
+  if (!caller.stream->out().append(text)) return close(caller);
   caller.stream->flush();
 }
 
@@ -282,13 +285,13 @@
   // What came while the answer was made has its turn after everyone else's: a client that sends one request
   // right behind the other would otherwise never let go of the loop.
   const std::uint64_t number = caller.number;
-  loop_.at(loop_.now(), [this, number] {
+  loop_.call_at(loop_.now(), [this, number] {
     const auto at = callers_.find(number);
     if (at == callers_.end()) return;
     Caller& next = *at->second;  // may end in what follows; it is buried after the turn
     next.answering = false;
     arrived(next);
-    next.stream->read_on();
+    next.stream->resume_reading();
   });
 }
 
@@ -299,8 +302,8 @@
   set_aside(caller);
   caller.since = loop_.now();
   caller.stream->in().clear();
-  caller.stream->finish();
-  caller.stream->read_on();
+  caller.stream->shutdown_write();
+  caller.stream->resume_reading();
 }
 
 // Every wait on a client has its limit here: one that says nothing, or sends a request that does not end, is
@@ -315,12 +318,12 @@
     if (caller.in_hand) continue;
     if (caller.parting) {
       if (now >= caller.since + carriage_.connect_timeout) {
-        caller.stream->read_now();
+        caller.stream->read_available();
         close(caller);
       }
     } else if (caller.answering) {
       if (now >= caller.since + carriage_.longest_timeout) close(caller);
-    } else if (caller.reader.begun()) {
+    } else if (caller.reader.has_started()) {
       if (now >= caller.first_byte + kMayClose) unended(caller);
     } else if (now >= caller.since + kMayClose) {
       if (caller.spoken) {
@@ -342,7 +345,7 @@
   // What was short may have been given back by somebody else than a client, and of who waits already nothing
   // is told again.
   if (more_to_accept_) accept();
-  loop_.at(now + kSweep, [this] { sweep(); });
+  loop_.call_at(now + kSweep, [this] { sweep(); });
 }
 
 void Clients::unended(Caller& caller) {
@@ -362,14 +365,14 @@
   if (more_to_accept_) {
     // Not from within accept() itself, which ends connections to make room.
     more_to_accept_ = false;
-    loop_.at(loop_.now(), [this] { accept(); });
+    loop_.call_at(loop_.now(), [this] { accept(); });
   }
 }
 
 Activity Clients::activity(const Caller& caller) const {
   if (caller.in_hand || caller.answering) return Activity::busy;
   if (caller.parting) return Activity::closing;
-  if (caller.reader.begun()) return Activity::receiving;
+  if (caller.reader.has_started()) return Activity::receiving;
   return caller.spoken ? Activity::idle : Activity::silent;
 }
 
@@ -394,8 +397,8 @@
 // closing, or closed.
 bool Clients::dismiss(Caller& caller) {
   const Activity before = activity(caller);
-  caller.stream->read_now();
-  if (caller.stream->closed() || caller.parting) return true;
+  caller.stream->read_available();
+  if (caller.stream->is_closed() || caller.parting) return true;
   if (activity(caller) != before) return false;
   tally_.evicted += 1;
   if (before == Activity::idle) {
@@ -403,7 +406,7 @@
   } else {
     refuse_no_room(caller);
   }
-  return caller.stream->closed() || caller.parting;
+  return caller.stream->is_closed() || caller.parting;
 }
 
 // For a connection that has come: the first to go is ended in order. Who is aside already has no place to
@@ -420,7 +423,7 @@
 bool Clients::free_descriptor(bool (*among)(const Caller&)) {
   while (Caller* const first = first_to_go(among)) {
     if (!dismiss(*first)) continue;
-    if (!first->stream->closed()) close(*first);
+    if (!first->stream->is_closed()) close(*first);
     return true;
   }
   return false;
@@ -457,7 +460,7 @@
 void Clients::stop_accepting() {
   if (!listener_) return;
   if (!shared_) {
-    loop_.at(loop_.now() + kLateConnects, [this] { shut_when_nobody_waits(); });
+    loop_.call_at(loop_.now() + kLateConnects, [this] { shut_when_nobody_waits(); });
     return;
   }
   while (accept()) {
@@ -468,13 +471,13 @@
 void Clients::shut_when_nobody_waits() {
   while (accept()) {
   }
-  if (!listener_ || !net::anybody_waits(listener_.get())) return shut();
-  loop_.at(loop_.now() + kTimeToAsk, [this] { shut_when_nobody_waits(); });
+  if (!listener_ || !net::has_pending_connection(listener_.get())) return shut();
+  loop_.call_at(loop_.now() + kTimeToAsk, [this] { shut_when_nobody_waits(); });
 }
 
 void Clients::shut() {
   if (!listener_) return;
-  loop_.forget(listener_.get(), place_);
+  loop_.unwatch(listener_.get(), place_);
   listener_.close();
 }
 
@@ -486,7 +489,7 @@
   for (auto at = callers_.begin(); at != callers_.end();) {
     Caller& caller = *(at++)->second;
     if (caller.in_hand || caller.answering || caller.parting) continue;
-    if (!caller.reader.begun()) {
+    if (!caller.reader.has_started()) {
       if (caller.spoken || caller.since < since) part(caller);
     } else if (caller.first_byte < since) {
       unended(caller);
--- a/src/clients/clients.h
+++ b/src/clients/clients.h
@@ -13,10 +13,10 @@
 
 #include "clients/ask.h"
 #include "clients/eviction.h"
+#include "net/descriptor_reserve.h"
 #include "net/http.h"
 #include "net/loop.h"
 #include "net/socket.h"
-#include "net/spare.h"
 
 namespace marbledyke::clients {
 
@@ -26,7 +26,7 @@
 // One is needed for a round trip at a time, so a few refuse any number.
 inline constexpr std::size_t kHeldBack = 8;
 
-class Clients final : public front::Front, public net::Watcher {
+class Clients final : public front::Front, public net::EventHandler {
  public:
   // Throws std::system_error where the address cannot be listened on. `most` descriptors are for connections,
   // those held back for refusals among them. A socket that listens already, and that others accept from as
@@ -47,7 +47,7 @@
   bool writing() const override;
   std::size_t size() const override { return callers_.size(); }
 
-  void ready(bool readable, bool writable) override;
+  void on_ready(bool readable, bool writable) override;
   void bury() override;
 
   struct Tally {
@@ -67,7 +67,7 @@
   void accept_later();
   std::size_t places() const { return most_ - held_back_; }
   std::size_t in_places() const { return callers_.size() - aside_; }
-  bool no_descriptor() const { return callers_.size() + spare_.held() >= most_; }
+  bool no_descriptor() const { return callers_.size() + spare_.held_count() >= most_; }
   bool refill();
   bool has_place(Caller& caller);
   bool silent_to_door();
@@ -98,7 +98,7 @@
   std::uint32_t place_ = 0;
   std::size_t most_;
   const std::size_t held_back_;  // of these; for connections that find no place
-  net::Spare spare_;
+  net::DescriptorReserve spare_;
   std::size_t aside_ = 0;  // connections that hold no place: at the door, or closing
   bool leaving_ = false, parting_ = false;
   bool more_to_accept_ = false;
--- a/src/command/check.cpp
+++ b/src/command/check.cpp
@@ -6,7 +6,7 @@
 
 #include "choice.h"
 #include "config/commission.h"
-#include "list/news.h"
+#include "list/list_update.h"
 #include "operator_file/helper.h"
 
 namespace marbledyke::command {
@@ -25,7 +25,7 @@
   try {
     const config::Commission commission = config::read_commission(text);
     Choice(commission.terms, commission.seed);
-    if (commission.known.is_object()) list::read_news(commission.known, commission.carriage, {});
+    if (commission.known.is_object()) list::parse_list_update(commission.known, commission.carriage, {});
     std::cout << path << ": good" << std::endl;
     return true;
   } catch (const std::exception& wrong) {
--- a/src/command/search_main.cpp
+++ b/src/command/search_main.cpp
@@ -37,7 +37,7 @@
         gatherer.loop(), commission.carriage,
         protocol == search::Protocol::sru ? sru::make_talk : z3950::make_talk,
         [&gatherer] { return gatherer.make_room(); });
-    carrier->serve(std::move(databases));
+    carrier->set_databases(std::move(databases));
     gatherer.add(std::move(carrier));
   }
 }
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -19,7 +19,7 @@
 #include "events/pipe.h"
 #include "gatherer/gatherer.h"
 #include "log/log.h"
-#include "net/spare.h"
+#include "net/descriptor_reserve.h"
 #include "operator_file/helper.h"
 
 namespace marbledyke::command {
@@ -27,14 +27,14 @@
 
 using namespace std::chrono_literals;
 
-class Signals final : public net::Watcher {
+class Signals final : public net::EventHandler {
  public:
   Signals(net::Loop& loop, const sigset_t& which, std::function<void(int)> told)
       : fd_(signalfd(-1, &which, SFD_NONBLOCK | SFD_CLOEXEC)), told_(std::move(told)) {
     if (!fd_) throw std::system_error(errno, std::generic_category(), "signalfd");
     loop.watch(fd_.get(), *this);
   }
-  void ready(bool, bool) override {
+  void on_ready(bool, bool) override {
     signalfd_siginfo info{};
     while (read(fd_.get(), &info, sizeof info) == sizeof info) told_(static_cast<int>(info.ssi_signo));
   }
@@ -54,7 +54,7 @@
   socklen_t size = sizeof listens;
   sockaddr_storage own{}, wanted{};
   socklen_t own_size = sizeof own;
-  const socklen_t wanted_size = listen.put(wanted);
+  const socklen_t wanted_size = listen.to_sockaddr(wanted);
   if (getsockopt(fd.get(), SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) != 0 || listens == 0 ||
       getsockname(fd.get(), reinterpret_cast<sockaddr*>(&own), &own_size) != 0 || own_size != wanted_size ||
       std::memcmp(&own, &wanted, wanted_size) != 0)
@@ -136,7 +136,7 @@
 
  private:
   void report() {
-    gatherer_->loop().at(gatherer_->loop().now() + 10s, [this] {
+    gatherer_->loop().call_at(gatherer_->loop().now() + 10s, [this] {
       gatherer_->report();
       report();
     });
@@ -165,7 +165,7 @@
     // Ended while it is told, so it goes a turn later.
     reading_ = std::make_unique<operator_file::Reading>(
         gatherer_->loop(), options_.operator_file, [this](operator_file::Result result) {
-          gatherer_->loop().at(gatherer_->loop().now(), [this] {
+          gatherer_->loop().call_at(gatherer_->loop().now(), [this] {
             reading_.reset();
             if (std::exchange(again_, false)) read_again();
           });
@@ -177,12 +177,12 @@
 
   void take(const operator_file::Terms* terms) {
     try {
-      spare_.in_use(1);
+      spare_.set_in_use(1);
       const config::Commission fresh = read_configuration();
-      spare_.in_use(0);
+      spare_.set_in_use(0);
       gatherer_->reload(fresh);
     } catch (const std::exception& wrong) {
-      spare_.in_use(0);
+      spare_.set_in_use(0);
       return refuse(wrong.what());
     }
     if (terms == nullptr) return;
@@ -201,8 +201,8 @@
   std::unique_ptr<events::Pipe> pipe_;  // to the keeper that started this process
   std::unique_ptr<operator_file::Reading> reading_;
   bool again_ = false;
-  net::Spare spare_{1};  // for reading the file while clients hold every other descriptor
-  std::string search_;   // the terms of search that this start has
+  net::DescriptorReserve spare_{1};  // for reading the file while clients hold every other descriptor
+  std::string search_;               // the terms of search that this start has
 };
 
 }  // namespace
--- a/src/distribution/node.cpp
+++ b/src/distribution/node.cpp
@@ -55,7 +55,7 @@
 }  // namespace
 
 struct Node::Inside {
-  using Caller = net::JsonServer::Caller;
+  using Caller = net::JsonServer::ConnectionId;
   // None: answered later.
   using MaybeReply = std::optional<net::JsonReply>;
   struct Route {
@@ -109,8 +109,8 @@
   publisher.tick(loop.now());
   publish();
   server = std::make_unique<net::JsonServer>(
-      loop, options.listen, net::JsonServer::Bounds{kMostReceivers + kMostOthers, kMostMessage, kOwnLimit},
-      net::JsonServer::Told{
+      loop, options.listen, net::JsonServer::Limits{kMostReceivers + kMostOthers, kMostMessage, kOwnLimit},
+      net::JsonServer::Callbacks{
           [this](Caller caller, const net::JsonRequest& request) { asked(caller, request); },
           [this](Caller caller) { publisher.left(caller); }});
   const std::string follower_name = ("node:" + options.name).substr(0, kMostName);
@@ -142,7 +142,7 @@
     bad_request.event({{"path", path_of(request.target).substr(0, kMostName)}, {"why", wrong.what()}});
     reply = error_reply(400, wrong.what());
   }
-  if (reply) server->answer(caller, *reply);
+  if (reply) server->send_reply(caller, *reply);
   answer_due();
 }
 
@@ -201,7 +201,7 @@
   out["name"] = options.name;
   out["region"] = options.region;
   out["fleet"] = options.fleet;
-  out["connections"] = server->callers();
+  out["connections"] = server->connection_count();
   out["waiting"] = publisher.waiting();
   out["writes"] = state.writes();
   out["write_failures"] = state.failures();
@@ -236,7 +236,8 @@
     return followers[peer]->refused(step.reply.why);
   }
   if (!state.become(step.next)) {
-    retries[peer] = loop.at(loop.now() + kWriteRetry, [this, peer, revision] { follow(peer, revision); });
+    retries[peer] =
+        loop.call_at(loop.now() + kWriteRetry, [this, peer, revision] { follow(peer, revision); });
     return;
   }
   publish();
@@ -270,7 +271,7 @@
     if (!due) break;
     std::string body = "{\"newest\":" + std::to_string(due->answer.newest);
     if (due->answer.revision) body += ",\"revision\":" + text_of(*due->answer.revision);
-    server->answer(due->caller, {200, body + "}"});
+    server->send_reply(due->caller, {200, body + "}"});
   }
   answering = false;
   std::optional<Duration> next = publisher.wakes();
@@ -278,7 +279,7 @@
   if (wake) loop.cancel(*wake);
   wake.reset();
   if (!next) return;
-  wake = loop.at(std::max(*next, loop.now()), [this] {
+  wake = loop.call_at(std::max(*next, loop.now()), [this] {
     wake.reset();
     publisher.tick(loop.now());
     answer_due();
--- a/src/distribution/program.cpp
+++ b/src/distribution/program.cpp
@@ -59,7 +59,7 @@
   Node node(loop, disk, options);
   net::Signals signals(loop, heeded, [&running] { running = false; });
   log::event(log::Level::info, "control.serving", {{"listen", options.listen.text()}});
-  while (running) loop.gather();
+  while (running) loop.run_once();
   log::event(log::Level::info, "control.stopped");
 }
 
--- a/src/distribution/receiver_client.cpp
+++ b/src/distribution/receiver_client.cpp
@@ -21,7 +21,7 @@
       nodes_(std::move(nodes)),
       receiver_(std::move(identity), nodes_.size(), preferred, std::move(held), seed),
       apply_(std::move(apply)),
-      reader_(net::HttpReader::Kind::answer, kMostAnswer) {
+      reader_(net::HttpParser::Kind::response, kMostAnswer) {
   receiver_.start();
   carry_out();
 }
@@ -51,14 +51,14 @@
 void ReceiverClient::carry(const ReceiverAct::Call& act) {
   call_ = act;
   calling_ = true;
-  reader_.restart();
+  reader_.reset();
   set_timer(act.patience, [this] {
     end_call();
     stream_->close();
     receiver_.silent();
     carry_out();
   });
-  const bool open = stream_ && !stream_->closed();
+  const bool open = stream_ && !stream_->is_closed();
   reused_ = open && stream_node_ == act.node;
   if (reused_) return write();
   if (open) stream_->close();
@@ -79,26 +79,26 @@
   net::Descriptor fd = net::start_connect(nodes_.at(stream_node_));
   if (!fd) return tell_failed("cannot connect: " + std::generic_category().message(errno));
   last_ = std::move(stream_);
-  stream_ =
-      std::make_unique<net::Stream>(loop_, std::move(fd), false, kMostAnswer, kMostRequest,
-                                    net::Stream::Told{[this] { write(); }, [this] { arrived(); }, nullptr,
-                                                      [this](bool connected) { ended(connected); }});
+  stream_ = std::make_unique<net::Stream>(
+      loop_, std::move(fd), false, kMostAnswer, kMostRequest,
+      net::Stream::Callbacks{[this] { write(); }, [this] { arrived(); }, nullptr,
+                             [this](bool connected) { ended(connected); }});
 }
 
 void ReceiverClient::write() {
   const std::string text = "GET " + query_of(call_.call) + " HTTP/1.1\r\nHost: control\r\n\r\n";
   bytes_written_ += text.size();
-  stream_->out().put(text);
+  stream_->out().append(text);
   stream_->flush();
 }
 
 void ReceiverClient::arrived() {
-  net::Ring& in = stream_->in();
+  net::RingBuffer& in = stream_->in();
   while (!in.empty() && calling_) {
-    const std::size_t taken = reader_.take(in.front());
-    in.drop(taken);
+    const std::size_t taken = reader_.feed(in.front());
+    in.consume(taken);
     bytes_read_ += taken;
-    if (reader_.state() != net::HttpReader::State::reading) return message_read();
+    if (reader_.state() != net::HttpParser::State::incomplete) return message_read();
   }
   if (!calling_) stream_->close();  // nothing was asked: the connection is out of step
 }
@@ -106,22 +106,22 @@
 // A connection that was there before may have ended by its idle limit while the call was on its way.
 void ReceiverClient::ended(bool connected) {
   if (!calling_) return;
-  if (reused_ && !reader_.begun()) {
+  if (reused_ && !reader_.has_started()) {
     reused_ = false;
     connect();
     return carry_out();
   }
   const bool reset = stream_->was_reset();
-  if (!reset) reader_.peer_closed();
-  if (!reset && reader_.state() == net::HttpReader::State::done) return message_read();
+  if (!reset) reader_.on_peer_closed();
+  if (!reset && reader_.state() == net::HttpParser::State::complete) return message_read();
   tell_failed(connected ? "the connection broke" : "cannot connect");
 }
 
 void ReceiverClient::message_read() {
-  if (reader_.state() == net::HttpReader::State::bad) return tell_failed("the answer cannot be read");
+  if (reader_.state() == net::HttpParser::State::malformed) return tell_failed("the answer cannot be read");
   const net::HttpMessage& message = reader_.message();
-  const bool in_step = message.stays() && stream_->in().empty();
-  if (message.second != "200") return tell_failed("the node answers " + message.second);
+  const bool in_step = message.keeps_alive() && stream_->in().empty();
+  if (message.target_or_status != "200") return tell_failed("the node answers " + message.target_or_status);
   if (!in_step) stream_->close();
   std::optional<WatchAnswer> answer;
   try {
@@ -158,7 +158,7 @@
 
 void ReceiverClient::set_timer(Duration wait, std::function<void()> then) {
   if (timer_) loop_.cancel(*timer_);
-  timer_ = loop_.at(loop_.now() + wait, [this, then = std::move(then)] {
+  timer_ = loop_.call_at(loop_.now() + wait, [this, then = std::move(then)] {
     timer_.reset();
     then();
   });
--- a/src/distribution/receiver_client.h
+++ b/src/distribution/receiver_client.h
@@ -56,7 +56,7 @@
   Apply apply_;
   std::unique_ptr<net::Stream> stream_, last_;  // the last one may still be telling of its end
   std::size_t stream_node_ = 0;                 // where stream_ leads to
-  net::HttpReader reader_;
+  net::HttpParser reader_;
   ReceiverAct::Call call_;  // the one that is out
   bool calling_ = false;
   bool reused_ = false;  // it went out on a connection that was there before
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -710,7 +710,7 @@
       policy.list_closes();
       g.version = std::max(g.version, version);
     }
-    for (; g.refused > 0; --g.refused) policy.list_refused(list::most_backoff(list::kAnswerWithin));
+    for (; g.refused > 0; --g.refused) policy.list_refused(list::max_backoff(list::kResponseTimeout));
     for (const std::uint32_t i : std::exchange(g.ended, {})) {
       SendState& send = sends_[i];
       note(event_of(What::told, send));
--- a/src/events/pipe.cpp
+++ b/src/events/pipe.cpp
@@ -17,7 +17,7 @@
   place_ = loop_.watch(fd_.get(), *this);
 }
 
-Pipe::~Pipe() { loop_.forget(fd_.get(), place_); }
+Pipe::~Pipe() { loop_.unwatch(fd_.get(), place_); }
 
 void Pipe::line(std::string_view text) {
   if (pending_.size() + text.size() + 1 > kMostPending) {
@@ -29,7 +29,7 @@
   flush();
 }
 
-void Pipe::ready(bool, bool) { flush(); }
+void Pipe::on_ready(bool, bool) { flush(); }
 
 void Pipe::flush() {
   while (!pending_.empty()) {
--- a/src/events/pipe.h
+++ b/src/events/pipe.h
@@ -14,7 +14,7 @@
 
 inline constexpr std::size_t kMostPending = 256 * 1024;
 
-class Pipe final : public net::Watcher {
+class Pipe final : public net::EventHandler {
  public:
   // Throws std::system_error where there is no such pipe, or nobody has it open for reading.
   Pipe(net::Loop& loop, const std::string& path);
@@ -25,7 +25,7 @@
   void line(std::string_view text);  // without its end
   std::uint64_t dropped() const { return dropped_; }
 
-  void ready(bool readable, bool writable) override;
+  void on_ready(bool readable, bool writable) override;
 
  private:
   void flush();
--- a/src/fleet/agreement.cpp
+++ b/src/fleet/agreement.cpp
@@ -64,9 +64,9 @@
 
 // Until every call is answered or given up.
 void Agreement::run_calls() {
-  while (talk_.out() > 0) loop_.gather();
-  loop_.at(loop_.now(), [] {});
-  loop_.gather();  // the last is told in a turn of its own
+  while (talk_.out() > 0) loop_.run_once();
+  loop_.call_at(loop_.now(), [] {});
+  loop_.run_once();  // the last is told in a turn of its own
 }
 
 Outcome Agreement::run() {
@@ -80,8 +80,8 @@
   proposer_.emplace(voters_.size(), identity(), change_, std::move(chosen));
   carry_out();
   while (proposer_->outcome() == Outcome::under_way && loop_.now() < until) {
-    loop_.at(std::min(until, loop_.now() + 50ms), [] {});
-    loop_.gather();
+    loop_.call_at(std::min(until, loop_.now() + 50ms), [] {});
+    loop_.run_once();
   }
   if (proposer_->outcome() == Outcome::under_way) {
     why_ += (why_.empty() ? "" : "; ") + std::string("not over within 8 s");
@@ -99,7 +99,7 @@
   resting_ = true;
   std::random_device chance;
   const double jitter = static_cast<double>(chance() % 1000) / 1000.0;
-  loop_.at(loop_.now() + proposer_->backoff(jitter), [this] {
+  loop_.call_at(loop_.now() + proposer_->backoff(jitter), [this] {
     resting_ = false;
     proposer_->begin_round();
     carry_out();
--- a/src/fleet/configuration.cpp
+++ b/src/fleet/configuration.cpp
@@ -64,8 +64,8 @@
       return false;
     }
     bool rested = false;
-    loop.at(loop.now() + kLookEvery, [&rested] { rested = true; });
-    while (!rested) loop.gather();
+    loop.call_at(loop.now() + kLookEvery, [&rested] { rested = true; });
+    while (!rested) loop.run_once();
   }
 }
 
--- a/src/fleet/main.cpp
+++ b/src/fleet/main.cpp
@@ -48,9 +48,9 @@
       }
     });
   }
-  while (talk.out() > 0) loop.gather();
-  loop.at(loop.now(), [] {});
-  loop.gather();  // the last is told in a turn of its own
+  while (talk.out() > 0) loop.run_once();
+  loop.call_at(loop.now(), [] {});
+  loop.run_once();  // the last is told in a turn of its own
 }
 
 // What was seen before is taken from the file and put back, so that one look after another can say since
@@ -151,7 +151,7 @@
     std::optional<fleet::Answer> out;
     talk.call(keeper->control, method, target, body, kLimit,
               [&out](const fleet::Answer& answer) { out = answer; });
-    while (!out) loop.gather();
+    while (!out) loop.run_once();
     return *out;
   };
   if (!order.contains("number")) {
--- a/src/fleet/rollout.cpp
+++ b/src/fleet/rollout.cpp
@@ -81,7 +81,7 @@
     judge();
     carry_out();
   }
-  beat_ = loop_.at(loop_.now() + kBeat, [this] { beat(); });
+  beat_ = loop_.call_at(loop_.now() + kBeat, [this] { beat(); });
 }
 
 // ---- what keepers say ----
@@ -359,7 +359,7 @@
   net::Loop loop;
   try {
     Rollout rollout(loop, disk, fleet, plan, folder);
-    while (!rollout.over()) loop.gather();
+    while (!rollout.over()) loop.run_once();
     const rollout::Kept& kept = rollout.conductor()->kept();
     std::cout << rollout::name_of(kept.state) << (kept.why.empty() ? "" : ": " + kept.why) << '\n';
     return kept.state == State::done ? 0 : kept.state == State::held ? 3 : 1;
--- a/src/fleet/spread.cpp
+++ b/src/fleet/spread.cpp
@@ -107,9 +107,9 @@
         [&, i](const json& answer) { take_newest(out, fleet.name, out.nodes[i], answer); });
     ask("/v1/configuration/receivers", [&](const json& answer) { merge(receivers, answer); });
   }
-  while (talk.out() > 0) loop.gather();
-  loop.at(loop.now(), [] {});
-  loop.gather();  // the last is told in a turn of its own
+  while (talk.out() > 0) loop.run_once();
+  loop.call_at(loop.now(), [] {});
+  loop.run_once();  // the last is told in a turn of its own
   for (auto& [name, seen] : receivers) out.receivers.push_back(std::move(seen));
   judge(out, fleet);
   return out;
--- a/src/fleet/talk.cpp
+++ b/src/fleet/talk.cpp
@@ -13,7 +13,7 @@
   std::uint64_t number = 0;
   Told told;
   std::unique_ptr<net::Stream> stream;
-  net::HttpReader reader{net::HttpReader::Kind::answer, kMostAnswer};
+  net::HttpParser reader{net::HttpParser::Kind::response, kMostAnswer};
   net::Loop::Timer limit{};
   bool over = false;
 };
@@ -40,39 +40,40 @@
   const std::uint64_t number = call->number = next_++;
   call->told = std::move(what.told);
   calls_.emplace(number, std::move(made));
-  call->limit = loop_.at(loop_.now() + what.limit, [this, number] {
+  call->limit = loop_.call_at(loop_.now() + what.limit, [this, number] {
     finish(number, {0, nullptr, "no answer in time"});
   });
   net::Descriptor fd = net::start_connect(what.to);
   if (!fd) {
     const std::string why = std::strerror(errno);
-    loop_.at(loop_.now(), [this, number, why] { finish(number, {0, nullptr, why}); });
+    loop_.call_at(loop_.now(), [this, number, why] { finish(number, {0, nullptr, why}); });
     return;
   }
   call->stream = std::make_unique<net::Stream>(
       loop_, std::move(fd), false, 64 * 1024, what.bytes.size() + 1,
-      net::Stream::Told{[call, bytes = what.bytes] {
-                          call->stream->out().put(bytes);
-                          call->stream->flush();
-                        },
-                        [this, call] {
-                          net::Ring& in = call->stream->in();
-                          while (!in.empty() && call->reader.state() == net::HttpReader::State::reading)
-                            in.drop(call->reader.take(in.front()));
-                          if (call->reader.state() == net::HttpReader::State::reading) return;
-                          Answer answer;
-                          if (call->reader.state() == net::HttpReader::State::done) {
-                            answer.status = std::atoi(call->reader.message().second.c_str());
-                            answer.body = nlohmann::json::parse(call->reader.message().body, nullptr, false);
-                          } else {
-                            answer.why = "what came cannot be read";
-                          }
-                          finish(call->number, std::move(answer));
-                        },
-                        nullptr,
-                        [this, number](bool was) {
-                          finish(number, {0, nullptr, was ? "the connection ended" : "cannot connect"});
-                        }});
+      net::Stream::Callbacks{
+          [call, bytes = what.bytes] {
+            call->stream->out().append(bytes);
+            call->stream->flush();
+          },
+          [this, call] {
+            net::RingBuffer& in = call->stream->in();
+            while (!in.empty() && call->reader.state() == net::HttpParser::State::incomplete)
+              in.consume(call->reader.feed(in.front()));
+            if (call->reader.state() == net::HttpParser::State::incomplete) return;
+            Answer answer;
+            if (call->reader.state() == net::HttpParser::State::complete) {
+              answer.status = std::atoi(call->reader.message().target_or_status.c_str());
+              answer.body = nlohmann::json::parse(call->reader.message().body, nullptr, false);
+            } else {
+              answer.why = "what came cannot be read";
+            }
+            finish(call->number, std::move(answer));
+          },
+          nullptr,
+          [this, number](bool was) {
+            finish(number, {0, nullptr, was ? "the connection ended" : "cannot connect"});
+          }});
 }
 
 void Talk::finish(std::uint64_t number, Answer answer) {
@@ -85,7 +86,7 @@
   const Told told = std::move(call->told);
   graves_.push_back(std::move(call));
   // Who is told may call anew, and what has just ended is not destroyed while it tells.
-  loop_.at(loop_.now(), [this, told, answer = std::move(answer)] {
+  loop_.call_at(loop_.now(), [this, told, answer = std::move(answer)] {
     graves_.clear();
     told(answer);
     if (waiting_.empty() || calls_.size() >= kAtOnce) return;
--- a/src/gatherer/gatherer.cpp
+++ b/src/gatherer/gatherer.cpp
@@ -35,7 +35,8 @@
 
 // The descriptors left for clients beside those that each listed server may need.
 std::size_t client_room(const config::Commission& commission, std::size_t listed) {
-  const int left = commission.sockets - kOwnDescriptors - servers::kFewLinks * static_cast<int>(listed);
+  const int left =
+      commission.sockets - kOwnDescriptors - servers::kMaxIsolatingConnections * static_cast<int>(listed);
   return static_cast<std::size_t>(std::max(left, commission.sockets / 2));
 }
 
@@ -45,9 +46,9 @@
              : 0;
 }
 
-list::News read_known(const config::Commission& commission, Duration unix_start) {
+list::ListUpdate read_known(const config::Commission& commission, Duration unix_start) {
   try {
-    return list::read_news(commission.known, commission.carriage, unix_start);
+    return list::parse_list_update(commission.known, commission.carriage, unix_start);
   } catch (const config::BadInput& wrong) {
     throw config::BadInput(std::string("known.") + wrong.what());
   }
@@ -65,26 +66,28 @@
       clients_(loop_, commission.carriage, commission.listen,
                client_room(commission, known_servers(commission)), std::move(listening)),
       watch_(loop_, commission, unix_start_,
-             {[this](list::News news) { news_.push_back(std::move(news)); },
+             {[this](list::ListUpdate news) { news_.push_back(std::move(news)); },
               [this](Duration most_backoff) { refusals_.push_back(most_backoff); }}),
       hand_(static_cast<std::size_t>(commission.carriage.most_in_hand)) {
-  loop_.tell_long_turns(kLongTurn, [this](const net::Loop::Turn& turn) {
-    long_turns_.event({{"ms", turn.took / 1ms}, {"processor_ms", turn.processor / 1ms}, {"in_hand", open_}});
+  loop_.report_long_turns(kLongTurn, [this](const net::Loop::Turn& turn) {
+    long_turns_.event(
+        {{"ms", turn.duration / 1ms}, {"processor_ms", turn.cpu_time / 1ms}, {"in_hand", open_}});
   });
   choice_.clock(loop_.now());
   if (commission.known.is_object()) {
-    list::News known = read_known(commission, unix_start_);
-    known.whole = true;
-    servers_.listed(known);
+    list::ListUpdate known = read_known(commission, unix_start_);
+    known.is_snapshot = true;
+    servers_.apply_list_update(known);
     choice_.list_opens(true, true);
-    for (const list::Entry& entry : known.entries) choice_.list_row(entry.row);
+    for (const list::ServerEntry& entry : known.entries) choice_.list_row(entry.row);
     choice_.list_closes();
-    watch_.held(known.index);
-    log::event(log::Level::info, "list.remembered",
-               {{"servers", known.entries.size()}, {"version", known.index}, {"left_out", known.skipped}});
-    done_.unreadable += static_cast<std::uint64_t>(known.skipped);
+    watch_.set_known_index(known.index);
+    log::event(
+        log::Level::info, "list.remembered",
+        {{"servers", known.entries.size()}, {"version", known.index}, {"left_out", known.skipped_entries}});
+    done_.unreadable += static_cast<std::uint64_t>(known.skipped_entries);
   }
-  if (!commission.carriage.list_is_asked) watch_.ask(true);
+  if (!commission.carriage.list_is_asked) watch_.request_list(true);
 }
 
 void Gatherer::add(std::unique_ptr<front::Front> front) {
@@ -94,9 +97,9 @@
 
 void Gatherer::add(std::unique_ptr<carrier::Carrier> carrier) {
   if (commission_.known.is_object()) {
-    list::News known = read_known(commission_, unix_start_);
-    known.whole = true;
-    carrier->listed(known);
+    list::ListUpdate known = read_known(commission_, unix_start_);
+    known.is_snapshot = true;
+    carrier->apply_list_update(known);
   }
   carriers_.push_back(std::move(carrier));
 }
@@ -108,10 +111,11 @@
 }
 
 bool Gatherer::any_news() const {
-  if (std::any_of(carriers_.begin(), carriers_.end(),
-                  [](const auto& one) { return !one->ended.empty() || !one->probed.empty(); }))
+  if (std::any_of(carriers_.begin(), carriers_.end(), [](const auto& one) {
+        return !one->finished_sends.empty() || !one->finished_probes.empty();
+      }))
     return true;
-  return woken_ || !servers_.ended.empty() || !servers_.probed.empty() || !news_.empty() ||
+  return woken_ || !servers_.finished_sends.empty() || !servers_.finished_probes.empty() || !news_.empty() ||
          !refusals_.empty() || !second_steps_.empty() ||
          std::any_of(fronts_.begin(), fronts_.end(),
                      [](const front::Front* one) { return !one->asked.empty() || !one->left.empty(); });
@@ -134,14 +138,14 @@
 }
 
 bool Gatherer::turn() {
-  if (any_news()) loop_.at(loop_.now(), [] {});  // what carrying out has brought up does not wait
-  loop_.gather();
+  if (any_news()) loop_.call_at(loop_.now(), [] {});  // what carrying out has brought up does not wait
+  loop_.run_once();
   if (any_news()) {
     hand_over();
     carry_out();
   }
   for (front::Front* one : fronts_) one->bury();
-  for (const auto& one : carriers_) one->bury();
+  for (const auto& one : carriers_) one->destroy_closed();
   if (!leave_by_ || accepting_) return true;
   if (parting_) {
     for (front::Front* one : fronts_) one->close_idle(loop_.now() - kStillComing);
@@ -161,11 +165,11 @@
   leave_by_ = loop_.now() + std::min(carriage.longest_timeout, kLongestStop) + kBeforeForce - kLastAnswers;
   for (front::Front* one : fronts_) one->leave();
   log::event(log::Level::info, "gatherer.stopping", {{"in_hand", open_}, {"clients", clients_.size()}});
-  loop_.at(loop_.now() + kStillComing, [this] {
+  loop_.call_at(loop_.now() + kStillComing, [this] {
     accepting_ = false;
     for (front::Front* one : fronts_) one->stop_accepting();
   });
-  loop_.at(std::max(*leave_by_ - carriage.longest_budget, loop_.now() + kStillComing), [this] {
+  loop_.call_at(std::max(*leave_by_ - carriage.longest_budget, loop_.now() + kStillComing), [this] {
     parting_ = true;
     for (front::Front* one : fronts_) one->part_with_all();
   });
@@ -187,7 +191,7 @@
   } else {
     log::event(log::Level::info, "configuration.read_again", {{"discovery", fresh.discovery_host}});
   }
-  if (fresh.discovery != discovery_ || ask_anew) watch_.move(fresh.discovery, fresh.discovery_host);
+  if (fresh.discovery != discovery_ || ask_anew) watch_.set_endpoint(fresh.discovery, fresh.discovery_host);
   discovery_ = fresh.discovery;
 }
 
@@ -230,7 +234,7 @@
   commission_.terms = fresh.terms;
   commission_.settings_index = fresh.settings_index;
   from = to;
-  if (pushed_now) watch_.ask(true);
+  if (pushed_now) watch_.request_list(true);
   if (fresh.settings_index) {
     log::event(log::Level::info, "configuration.settings_taken",
                {{"changed", changed}, {"in_hand", open_}, {"settings_index", *fresh.settings_index}});
@@ -241,7 +245,7 @@
 }
 
 void Gatherer::operate(const operator_file::Terms& terms) {
-  addresses::Rules rules = terms.connecting;
+  addresses::ConnectSettings rules = terms.connecting;
   if (!terms.attempt_stated) rules.attempt = commission_.carriage.connect_timeout;
   rules.race = std::max(rules.race, rules.attempt);
   servers_.configure(rules, terms.servers);
@@ -253,19 +257,19 @@
 void Gatherer::hand_over() {
   woken_ = false;
   choice_.clock(loop_.now());
-  for (list::News& news : std::exchange(news_, {})) list_came(std::move(news));
+  for (list::ListUpdate& news : std::exchange(news_, {})) list_came(std::move(news));
   for (const Duration most_backoff : std::exchange(refusals_, {})) {
     choice_.list_refused(most_backoff);
     // Where the list is pushed nobody decides to ask for it; the connection that brings it is kept up here.
     if (!commission_.carriage.list_is_asked)
-      loop_.at(loop_.now() + list::kAgentBackoff, [this] { watch_.ask(true); });
+      loop_.call_at(loop_.now() + list::kAgentBackoff, [this] { watch_.request_list(true); });
   }
-  for (servers::Ended& ended : std::exchange(servers_.ended, {})) sent_back(ended);
-  for (const servers::Probed& probed : std::exchange(servers_.probed, {}))
+  for (servers::SendResult& ended : std::exchange(servers_.finished_sends, {})) sent_back(ended);
+  for (const servers::ProbeResult& probed : std::exchange(servers_.finished_probes, {}))
     choice_.probe_ended(probed.server, probed.fate, probed.elapsed, probed.report);
   for (const auto& one : carriers_) {
-    for (servers::Ended& ended : std::exchange(one->ended, {})) sent_back(ended);
-    for (const servers::Probed& probed : std::exchange(one->probed, {}))
+    for (servers::SendResult& ended : std::exchange(one->finished_sends, {})) sent_back(ended);
+    for (const servers::ProbeResult& probed : std::exchange(one->finished_probes, {}))
       choice_.probe_ended(probed.server, probed.fate, probed.elapsed, probed.report);
   }
   for (const Rid& id : std::exchange(second_steps_, {})) {
@@ -323,25 +327,25 @@
   --open_;
   for (std::size_t i = 0; i < mg.pieces.size() && mg.out > 0; ++i) {
     const Rid part = part_id(mg.id, i);
-    for (int send = 0; send < mg.pieces[i].sent; ++send) servers_.unsend(part, send);
+    for (int send = 0; send < mg.pieces[i].sent; ++send) servers_.cancel_if_unsent(part, send);
   }
 }
 
-void Gatherer::list_came(list::News&& news) {
-  servers_.listed(news);
-  for (const auto& one : carriers_) one->listed(news);
-  choice_.list_opens(news.whole, false);
+void Gatherer::list_came(list::ListUpdate&& news) {
+  servers_.apply_list_update(news);
+  for (const auto& one : carriers_) one->apply_list_update(news);
+  choice_.list_opens(news.is_snapshot, false);
   // A whole list says nothing of a server whose entry cannot be read: the module is told again what it was
   // told last.
   std::size_t kept = 0;
-  for (const std::string& name : news.unreadable) {
-    const ListRow* const last = news.whole ? servers_.last_row(name) : nullptr;
+  for (const std::string& name : news.unreadable_servers) {
+    const ListRow* const last = news.is_snapshot ? servers_.last_row(name) : nullptr;
     if (last == nullptr) continue;
     choice_.list_row(*last);
     kept += 1;
   }
-  done_.unreadable += static_cast<std::uint64_t>(news.skipped);
-  for (const list::Entry& entry : news.entries) {
+  done_.unreadable += static_cast<std::uint64_t>(news.skipped_entries);
+  for (const list::ServerEntry& entry : news.entries) {
     choice_.list_row(entry.row);
     log::event(log::Level::debug, "list.server",
                {{"server", entry.row.server},
@@ -350,11 +354,13 @@
                                                                         : "gone"}});
   }
   choice_.list_closes();
-  clients_.room(client_room(commission_, servers_.servers_listed()));
+  clients_.room(client_room(commission_, servers_.server_count()));
   if (!news.entries.empty())
-    log::event(
-        log::Level::info, "list.came",
-        {{"version", news.index}, {"entries", news.entries.size()}, {"whole", news.whole}, {"kept", kept}});
+    log::event(log::Level::info, "list.came",
+               {{"version", news.index},
+                {"entries", news.entries.size()},
+                {"whole", news.is_snapshot},
+                {"kept", kept}});
 }
 
 // The module's ids: eight digits of the multiget's number, four zeros, and four of the part's place, 0 for
@@ -445,7 +451,7 @@
   }
 }
 
-void Gatherer::sent_back(servers::Ended& ended) {
+void Gatherer::sent_back(servers::SendResult& ended) {
   std::size_t at = 0;
   InHand* mg = hand_of(ended.part, &at);
   if (!must_hold(mg != nullptr, "a send that ends belongs to a multiget in hand")) return;
@@ -474,11 +480,12 @@
 void Gatherer::carry_out() {
   while (const auto verdict = choice_.next_verdict()) decided(*verdict);
   while (const auto gone = choice_.next_withdrawal()) {
-    const bool carried = std::any_of(carriers_.begin(), carriers_.end(),
-                                     [&](const auto& one) { return one->withdraw(gone->part, gone->send); });
-    if (!carried) servers_.withdraw(gone->part, gone->send);
+    const bool carried = std::any_of(carriers_.begin(), carriers_.end(), [&](const auto& one) {
+      return one->cancel_send(gone->part, gone->send);
+    });
+    if (!carried) servers_.cancel_send(gone->part, gone->send);
   }
-  std::map<std::string, std::vector<servers::Errand>> calls;
+  std::map<std::string, std::vector<servers::SendRequest>> calls;
   while (const auto send = choice_.next_send()) {
     std::size_t at = 0;
     InHand* mg = hand_of(send->part, &at);
@@ -489,37 +496,37 @@
       count->sends += 1;
       count->further += piece.sent > 0 ? 1 : 0;
     }
-    servers::Errand errand;
-    errand.part = send->part;
-    errand.send = piece.sent++;
-    errand.id = mg->wire_id + '.' + std::to_string(piece.shard);
+    servers::SendRequest request;
+    request.part = send->part;
+    request.send = piece.sent++;
+    request.id = mg->wire_id + '.' + std::to_string(piece.shard);
     if (at >= mg->first_of_step && mg->step == 2) {
-      errand.id += ".phase2";
-      errand.more = ",from=" + mg->from + (mg->first_whole ? ",whole=1" : ",whole=0");
+      request.id += ".phase2";
+      request.list_suffix = ",from=" + mg->from + (mg->first_whole ? ",whole=1" : ",whole=0");
     }
-    errand.shard = piece.shard;
-    errand.once = mg->once;
-    errand.text = mg->text;
-    errand.not_past = send->not_past;
-    errand.begun_by = send->begun_by;
-    errand.pulled = loop_.now();
+    request.shard = piece.shard;
+    request.non_retriable = mg->once;
+    request.text = mg->text;
+    request.deadline = send->not_past;
+    request.start_deadline = send->begun_by;
+    request.issued_at = loop_.now();
     mg->out += 1;
     mg->last_send = loop_.now();
-    calls[std::string(send->server)].push_back(std::move(errand));
+    calls[std::string(send->server)].push_back(std::move(request));
   }
-  for (auto& [server, errands] : calls) {
+  for (auto& [server, requests] : calls) {
     carrier::Carrier* const carrier = carrier_of(server);
-    carrier != nullptr ? carrier->call(server, std::move(errands))
-                       : servers_.call(server, std::move(errands));
+    carrier != nullptr ? carrier->call(server, std::move(requests))
+                       : servers_.call(server, std::move(requests));
   }
   while (const auto server = choice_.next_probe()) {
     carrier::Carrier* const carrier = carrier_of(*server);
     carrier != nullptr ? carrier->probe(std::string(*server)) : servers_.probe(std::string(*server));
   }
-  while (const auto call = choice_.next_list_call()) watch_.ask(*call == ListCall::watch);
+  while (const auto call = choice_.next_list_call()) watch_.request_list(*call == ListCall::watch);
   while (const auto note = choice_.next_note())
     log::event(log::Level::info, "decisions.note", {{"what", *note}});
-  while (const auto wake = choice_.next_wake()) loop_.at(loop_.now() + *wake, [this] { woken_ = true; });
+  while (const auto wake = choice_.next_wake()) loop_.call_at(loop_.now() + *wake, [this] { woken_ = true; });
 }
 
 // Every step's end passes here, once for each. Connections keep no order among each other: a send that was
@@ -537,7 +544,7 @@
   const Duration clear = (mg->out > 0 ? std::max(newest, silent) : newest) + kSlack;
   if (loop_.now() > clear) return answered(*mg, verdict);
   const Duration tick = loop_.now() + commission_.carriage.tick;
-  loop_.at(verdict.ending == Ending::answer ? std::max(tick, clear) : tick, [this, verdict] {
+  loop_.call_at(verdict.ending == Ending::answer ? std::max(tick, clear) : tick, [this, verdict] {
     InHand* late = hand_of(verdict.multiget);
     if (late != nullptr && !late->over) answered(*late, verdict);
   });
--- a/src/gatherer/gatherer.h
+++ b/src/gatherer/gatherer.h
@@ -15,12 +15,12 @@
 #include "clients/clients.h"
 #include "config/commission.h"
 #include "front/front.h"
-#include "list/watch.h"
+#include "list/discovery_client.h"
 #include "log/log.h"
 #include "model/slab.h"
 #include "net/loop.h"
 #include "operator_file/terms.h"
-#include "servers/servers.h"
+#include "servers/shard_server_pool.h"
 #include "totals/totals.h"
 
 namespace marbledyke::gatherer {
@@ -53,8 +53,8 @@
   // From now on each second of the wall clock is counted by op type and told, one line of JSON each, after
   // it.
   void record(std::function<void(const std::string& line)> told);
-  const servers::Tally& tally() const { return servers_.tally(); }
-  const servers::Servers& servers() const { return servers_; }
+  const servers::Counters& tally() const { return servers_.counters(); }
+  const servers::ShardServerPool& servers() const { return servers_; }
 
  private:
   struct Piece {
@@ -116,13 +116,13 @@
   void left(std::size_t front, std::uint64_t caller);
   void fail_what_outlasts_stop();
   void hand_parts(InHand& mg);
-  void sent_back(servers::Ended& ended);
+  void sent_back(servers::SendResult& ended);
   void decided(const Verdict& verdict);
   void answered(InHand& mg, const Verdict& verdict);
   void second_step(InHand& mg, bool whole);
   void over(InHand& mg);
   void give_back(InHand& mg);
-  void list_came(list::News&& news);
+  void list_came(list::ListUpdate&& news);
   carrier::Carrier* carrier_of(std::string_view server);
 
   bool renew(const config::Commission& fresh);
@@ -135,12 +135,12 @@
   net::Loop loop_;
   Duration unix_start_;
   Choice choice_;
-  servers::Servers servers_;
+  servers::ShardServerPool servers_;
   std::vector<std::unique_ptr<carrier::Carrier>> carriers_;
   clients::Clients clients_;
   std::vector<std::unique_ptr<front::Front>> more_fronts_;
   std::vector<front::Front*> fronts_{&clients_};  // all of them, the platform's first
-  list::Watch watch_;
+  list::DiscoveryClient watch_;
   Slab<InHand> hand_;
   int held_ = 0;  // multigets and parts
   int open_ = 0;  // multigets not finally answered
@@ -149,7 +149,7 @@
   std::map<std::pair<std::size_t, std::uint64_t>, Rid> by_caller_;
   std::map<std::string, Rid, std::less<>> by_wire_id_;
   std::vector<Rid> second_steps_;  // whose parts the module is told of in the next turn
-  std::vector<list::News> news_;
+  std::vector<list::ListUpdate> news_;
   std::vector<Duration> refusals_;  // of the list; within what each is asked for again
   bool woken_ = true;
   std::optional<Duration> leave_by_;  // in a planned stop: when all must be over
--- a/src/gatherer/totals.cpp
+++ b/src/gatherer/totals.cpp
@@ -20,8 +20,8 @@
   record_->told = std::move(told);
   const std::int64_t ms = loop_.clock().wall() / 1ms;
   record_->window.start_ms = ms - ms % totals::kWindowMs;
-  loop_.at(loop_.now() + std::chrono::milliseconds(totals::kWindowMs - ms % totals::kWindowMs),
-           [this] { tell_window(); });
+  loop_.call_at(loop_.now() + std::chrono::milliseconds(totals::kWindowMs - ms % totals::kWindowMs),
+                [this] { tell_window(); });
 }
 
 // A second that ended while the process stood still is told of late, under its own time; those in which it
@@ -31,8 +31,8 @@
   const std::int64_t ms = loop_.clock().wall() / 1ms;
   record.window.in_hand = static_cast<std::uint64_t>(open_);
   record.window.broken_invariants = broken_invariants();
-  record.window.not_connected = servers_.tally().dial_failed;
-  record.window.dropped = servers_.tally().dropped;
+  record.window.not_connected = servers_.counters().dial_failed;
+  record.window.dropped = servers_.counters().dropped;
   char digest[17];
   std::snprintf(digest, sizeof digest, "%016llx", static_cast<unsigned long long>(commission_.digest));
   nlohmann::json told = {{"event", "window"},
@@ -44,16 +44,16 @@
   record.told(told.dump());
   record.window.by_op_type.clear();
   record.window.start_ms = ms - ms % totals::kWindowMs;
-  loop_.at(loop_.now() + std::chrono::milliseconds(totals::kWindowMs - ms % totals::kWindowMs),
-           [this] { tell_window(); });
+  loop_.call_at(loop_.now() + std::chrono::milliseconds(totals::kWindowMs - ms % totals::kWindowMs),
+                [this] { tell_window(); });
 }
 
 void Gatherer::report() {
   for (const auto& front : more_fronts_) front->report();
   for (const auto& one : carriers_) {
-    const carrier::Tally& t = one->tally();
+    const carrier::Counters& t = one->counters();
     log::event(log::Level::info, "carrier.totals",
-               {{"connections", one->connections()},
+               {{"connections", one->connection_count()},
                 {"opened", t.opened},
                 {"parts", t.parts},
                 {"answered", t.answered},
@@ -67,9 +67,9 @@
                 {"closed_by_server", t.closed_by_server},
                 {"out_of_step", t.out_of_step}});
   }
-  const servers::Tally& t = servers_.tally();
+  const servers::Counters& t = servers_.counters();
   const clients::Clients::Tally& c = clients_.tally();
-  const addresses::Tally& a = servers_.book().tally();
+  const addresses::Counters& a = servers_.address_book().counters();
   log::event(log::Level::info, "gatherer.totals",
              {{"taken", done_.sent},
               {"answered", done_.answered},
@@ -84,7 +84,7 @@
               {"sends", t.sends},
               {"probes", t.probes},
               {"connections_opened", t.opened},
-              {"connections", servers_.connections()},
+              {"connections", servers_.connection_count()},
               {"clients", clients_.size()},
               {"accepted", c.accepted},
               {"let_go", c.let_go},
--- a/src/keeper/child.cpp
+++ b/src/keeper/child.cpp
@@ -56,7 +56,7 @@
 }
 
 // The reading end of the pipe, kept open over the lives of gatherers; a line at a time.
-class Child::Reading final : public net::Watcher {
+class Child::Reading final : public net::EventHandler {
  public:
   Reading(net::Loop& loop, const std::string& path, std::function<void(const std::string&)> told)
       : loop_(loop), told_(std::move(told)) {
@@ -71,9 +71,9 @@
     }
     place_ = loop_.watch(fd_.get(), *this);
   }
-  ~Reading() override { loop_.forget(fd_.get(), place_); }
+  ~Reading() override { loop_.unwatch(fd_.get(), place_); }
 
-  void ready(bool, bool) override {
+  void on_ready(bool, bool) override {
     char bytes[64 * 1024];
     for (;;) {
       const ssize_t got = read(fd_.get(), bytes, sizeof bytes);
@@ -117,7 +117,7 @@
 }
 
 Child::~Child() {
-  if (pidfd_) loop_.forget(pidfd_.get(), place_);
+  if (pidfd_) loop_.unwatch(pidfd_.get(), place_);
 }
 
 std::string Child::at(const char* name) const { return folder_ + "/" + name + "-" + std::to_string(slot_); }
@@ -193,7 +193,7 @@
       own_ = false;
       follow(born.pid);
       if (started_at(born.pid) == born.ticks) return born_ = born;
-      loop_.forget(pidfd_.get(), place_);
+      loop_.unwatch(pidfd_.get(), place_);
       pidfd_.close();
     }
     if (flock(lock.get(), LOCK_EX | LOCK_NB) == 0) return std::nullopt;
@@ -206,7 +206,7 @@
   const auto wanted = net::parse_address(address_text);
   if (!wanted || !pidfd_) return {};
   sockaddr_storage own{};
-  const socklen_t own_size = wanted->put(own);
+  const socklen_t own_size = wanted->to_sockaddr(own);
   std::error_code ignored;
   for (const auto& entry :
        std::filesystem::directory_iterator("/proc/" + std::to_string(born_.pid) + "/fd", ignored)) {
@@ -249,7 +249,7 @@
 }
 
 // The process has ended.
-void Child::ready(bool readable, bool) {
+void Child::on_ready(bool readable, bool) {
   if (!readable || !pidfd_) return;
   int status = 0;
   std::string how = "status unknown";
@@ -258,8 +258,8 @@
     how = how_of(status);
     was_killed_ = WIFSIGNALED(status) && WTERMSIG(status) == SIGKILL;
   }
-  reading_->ready(true, false);  // what it said last comes before its end
-  loop_.forget(pidfd_.get(), place_);
+  reading_->on_ready(true, false);  // what it said last comes before its end
+  loop_.unwatch(pidfd_.get(), place_);
   pidfd_.close();
   born_ = {};
   told_.ended(how);
--- a/src/keeper/child.h
+++ b/src/keeper/child.h
@@ -29,7 +29,7 @@
   std::string version;
 };
 
-class Child final : public net::Watcher {
+class Child final : public net::EventHandler {
  public:
   struct Told {
     std::function<void(const std::string& how)> ended;
@@ -65,7 +65,7 @@
   void relabel(const std::string& version);  // for a later life of the keeper; as good as can be
   Usage usage() const;
 
-  void ready(bool readable, bool writable) override;
+  void on_ready(bool readable, bool writable) override;
 
  private:
   class Reading;
--- a/src/keeper/control_address.cpp
+++ b/src/keeper/control_address.cpp
@@ -6,7 +6,7 @@
 
 std::string control_address_error(const net::Address& address) {
   sockaddr_storage storage{};
-  address.put(storage);
+  address.to_sockaddr(storage);
   if (address.family() == net::Family::local) return {};
   if (address.family() == net::Family::ip4) {
     const auto* in = reinterpret_cast<const sockaddr_in*>(&storage);
--- a/src/keeper/keeper.cpp
+++ b/src/keeper/keeper.cpp
@@ -159,7 +159,7 @@
     log::event(log::Level::info, "keeper.stopped");
     return;
   }
-  beat_ = loop_.at(loop_.now() + kBeat, [this] { beat(); });
+  beat_ = loop_.call_at(loop_.now() + kBeat, [this] { beat(); });
 }
 
 // ---- what is decided ----
@@ -324,22 +324,22 @@
   if (!fd) return minder_->health(false);
   health_ = std::make_unique<net::Stream>(
       loop_, std::move(fd), false, 4096, 4096,
-      net::Stream::Told{[this] {
-                          health_->out().put(
-                              "GET /healthz HTTP/1.1\r\nHost: keeper\r\nConnection: close\r\n\r\n");
-                          health_->flush();
-                        },
-                        [this] {
-                          health_said_ = true;
-                          minder_->health(health_->in().front().starts_with("HTTP/1.1 200"));
-                          health_->close();
-                        },
-                        nullptr,
-                        [this](bool) {
-                          if (!health_said_) minder_->health(false);
-                          health_said_ = true;
-                          health_->close();
-                        }});
+      net::Stream::Callbacks{[this] {
+                               health_->out().append(
+                                   "GET /healthz HTTP/1.1\r\nHost: keeper\r\nConnection: close\r\n\r\n");
+                               health_->flush();
+                             },
+                             [this] {
+                               health_said_ = true;
+                               minder_->health(health_->in().front().starts_with("HTTP/1.1 200"));
+                               health_->close();
+                             },
+                             nullptr,
+                             [this](bool) {
+                               if (!health_said_) minder_->health(false);
+                               health_said_ = true;
+                               health_->close();
+                             }});
   static_assert(kHealthWithin <= kHealthEvery);
 }
 
@@ -355,7 +355,7 @@
     wrong = error.what();
   }
   if (more) {
-    loop_.at(loop_.now(), [this] { take_some(); });
+    loop_.call_at(loop_.now(), [this] { take_some(); });
     return;
   }
   taking_.reset();
@@ -388,7 +388,7 @@
     steps.push_back(step(present, version, false, present + " does not take the settings of " + version));
   }
   trying_ = std::make_unique<Tryout>(loop_, std::move(steps), [this](const Tryout::Result& result) {
-    loop_.at(loop_.now(), [this] { trying_.reset(); });
+    loop_.call_at(loop_.now(), [this] { trying_.reset(); });
     minder_->versions_done(result.wrong, result.notes);
     carry_out();
   });
@@ -421,7 +421,7 @@
       if (order.kind == Kind::take) {
         try {
           taking_ = std::make_unique<Versions::Taking>(versions_, order.version, order.from);
-          loop_.at(loop_.now(), [this] { take_some(); });
+          loop_.call_at(loop_.now(), [this] { take_some(); });
         } catch (const std::exception& wrong) {
           minder_->versions_done(wrong.what());
         }
--- a/src/keeper/program.cpp
+++ b/src/keeper/program.cpp
@@ -90,7 +90,7 @@
     Keeper keeper(loop, disk, options);
     net::Signals signals(loop, heeded, [&keeper] { keeper.leave(); });
     log::event(log::Level::info, "keeper.serving", {{"control", control}});
-    while (keeper.running()) loop.gather();
+    while (keeper.running()) loop.run_once();
     return EXIT_SUCCESS;
   } catch (const std::exception& wrong) {
     std::cerr << "marbledyke-keeper: " << wrong.what() << '\n';
--- a/src/keeper/settings_keeper.cpp
+++ b/src/keeper/settings_keeper.cpp
@@ -106,7 +106,7 @@
         break;
       case HolderAct::What::watch:
         // In a turn of its own: the present client may be the one that asks.
-        loop_.at(loop_.now(), [this, held = act->revision] { watch(held); });
+        loop_.call_at(loop_.now(), [this, held = act->revision] { watch(held); });
         break;
       case HolderAct::What::note:
         log::event(log::Level::warning, "settings.note", {{"what", act->why}});
--- a/src/keeper/tryout.cpp
+++ b/src/keeper/tryout.cpp
@@ -19,12 +19,12 @@
 
 Tryout::Tryout(net::Loop& loop, std::vector<Step> steps, std::function<void(const Result&)> told)
     : loop_(loop), steps_(std::move(steps)), told_(std::move(told)) {
-  timer_ = loop_.at(loop_.now(), [this] { next(); });
+  timer_ = loop_.call_at(loop_.now(), [this] { next(); });
 }
 
 Tryout::~Tryout() {
   loop_.cancel(timer_);
-  if (pidfd_) loop_.forget(pidfd_.get(), place_);
+  if (pidfd_) loop_.unwatch(pidfd_.get(), place_);
   if (pid_ <= 0) return;
   kill(pid_, SIGKILL);
   waitpid(pid_, nullptr, 0);
@@ -70,18 +70,18 @@
   }
   place_ = loop_.watch(pidfd_.get(), *this);
   late_ = false;
-  timer_ = loop_.at(loop_.now() + kLimit, [this] {
+  timer_ = loop_.call_at(loop_.now() + kLimit, [this] {
     late_ = true;
     kill(pid_, SIGKILL);
   });
 }
 
-void Tryout::ready(bool, bool) {
+void Tryout::on_ready(bool, bool) {
   int status = 0;
   if (pid_ <= 0 || waitpid(pid_, &status, WNOHANG) != pid_) return;
   pid_ = -1;
   loop_.cancel(timer_);
-  loop_.forget(pidfd_.get(), place_);
+  loop_.unwatch(pidfd_.get(), place_);
   pidfd_.close();
   char bytes[kMostSaid];
   const ssize_t got = read(said_.get(), bytes, sizeof bytes);
@@ -99,7 +99,7 @@
     into += (into.empty() ? "" : "; ") + step.what + ": " + said;
     if (step.must) at_ = steps_.size();
   }
-  timer_ = loop_.at(loop_.now(), [this] { next(); });
+  timer_ = loop_.call_at(loop_.now(), [this] { next(); });
 }
 
 }  // namespace marbledyke::keeper
--- a/src/keeper/tryout.h
+++ b/src/keeper/tryout.h
@@ -16,7 +16,7 @@
 
 namespace marbledyke::keeper {
 
-class Tryout final : public net::Watcher {
+class Tryout final : public net::EventHandler {
  public:
   struct Step {
     std::string what;  // what it means where it fails
@@ -36,7 +36,7 @@
   Tryout(const Tryout&) = delete;
   Tryout& operator=(const Tryout&) = delete;
 
-  void ready(bool readable, bool writable) override;
+  void on_ready(bool readable, bool writable) override;
 
  private:
   void next();
--- a/src/lab/kept.cpp
+++ b/src/lab/kept.cpp
@@ -107,12 +107,12 @@
   const std::size_t at = calls_.size() - 1;
   calls_[at] =
       std::make_unique<net::Stream>(loop_, std::move(fd), false, 64 * 1024, bytes.size() + 1,
-                                    net::Stream::Told{[this, at, bytes] {
-                                                        calls_[at]->out().put(bytes);
-                                                        calls_[at]->flush();
-                                                      },
-                                                      [this, at] { calls_[at]->in().clear(); }, nullptr,
-                                                      [this, at](bool) { calls_[at]->close(); }});
+                                    net::Stream::Callbacks{[this, at, bytes] {
+                                                             calls_[at]->out().append(bytes);
+                                                             calls_[at]->flush();
+                                                           },
+                                                           [this, at] { calls_[at]->in().clear(); }, nullptr,
+                                                           [this, at](bool) { calls_[at]->close(); }});
 }
 
 void Kept::kill_keeper() {
--- a/src/lab/scale/change_maker.cpp
+++ b/src/lab/scale/change_maker.cpp
@@ -72,8 +72,8 @@
         continue;
       }
     }
-    loop_.at(loop_.now() + kLookEvery, [] {});
-    loop_.gather();
+    loop_.call_at(loop_.now() + kLookEvery, [] {});
+    loop_.run_once();
   }
   Made out;
   out.agreed_us = machine_microseconds();
--- a/src/lab/scale/health_probe.cpp
+++ b/src/lab/scale/health_probe.cpp
@@ -14,15 +14,15 @@
 }  // namespace
 
 HealthProbe::HealthProbe(net::Loop& loop, const net::Address& gatherer)
-    : loop_(loop), reader_(net::HttpReader::Kind::answer, kMostBytes) {
+    : loop_(loop), reader_(net::HttpParser::Kind::response, kMostBytes) {
   net::Descriptor fd = net::start_connect(gatherer);
   if (!fd) {
     broken_ = true;
     return;
   }
-  stream_ = std::make_unique<net::Stream>(
-      loop_, std::move(fd), false, kMostBytes, kMostBytes,
-      net::Stream::Told{[this] { ask(); }, [this] { arrived(); }, nullptr, [this](bool) { broken_ = true; }});
+  stream_ = std::make_unique<net::Stream>(loop_, std::move(fd), false, kMostBytes, kMostBytes,
+                                          net::Stream::Callbacks{[this] { ask(); }, [this] { arrived(); },
+                                                                 nullptr, [this](bool) { broken_ = true; }});
 }
 
 HealthProbe::~HealthProbe() {
@@ -35,17 +35,17 @@
 
 void HealthProbe::ask() {
   asked_ = loop_.now();
-  stream_->out().put("GET /healthz HTTP/1.1\r\nHost: lab\r\n\r\n");
+  stream_->out().append("GET /healthz HTTP/1.1\r\nHost: lab\r\n\r\n");
   stream_->flush();
 }
 
 void HealthProbe::arrived() {
-  net::Ring& in = stream_->in();
+  net::RingBuffer& in = stream_->in();
   while (!in.empty() && !broken_) {
-    in.drop(reader_.take(in.front()));
-    if (reader_.state() == net::HttpReader::State::reading) continue;
-    const bool stays = reader_.state() == net::HttpReader::State::done && reader_.message().stays();
-    reader_.restart();
+    in.consume(reader_.feed(in.front()));
+    if (reader_.state() == net::HttpParser::State::incomplete) continue;
+    const bool stays = reader_.state() == net::HttpParser::State::complete && reader_.message().keeps_alive();
+    reader_.reset();
     if (!asked_ || !stays) {
       broken_ = true;
       return;
@@ -53,7 +53,7 @@
     longest_ = std::max(longest_, loop_.now() - *asked_);
     asked_.reset();
     answers_ += 1;
-    next_ = loop_.at(loop_.now() + kBetween, [this] {
+    next_ = loop_.call_at(loop_.now() + kBetween, [this] {
       next_.reset();
       ask();
     });
--- a/src/lab/scale/health_probe.h
+++ b/src/lab/scale/health_probe.h
@@ -32,7 +32,7 @@
 
   net::Loop& loop_;
   std::unique_ptr<net::Stream> stream_;
-  net::HttpReader reader_;
+  net::HttpParser reader_;
   std::optional<net::Loop::Timer> next_;
   std::optional<Duration> asked_;
   Duration longest_{};
--- a/src/lab/scale/hollow_list.cpp
+++ b/src/lab/scale/hollow_list.cpp
@@ -35,7 +35,7 @@
 struct HollowList::Caller {
   std::uint64_t number = 0;
   std::unique_ptr<net::Stream> stream;
-  net::HttpReader reader{net::HttpReader::Kind::request, kMostCall};
+  net::HttpParser reader{net::HttpParser::Kind::request, kMostCall};
   std::optional<std::int64_t> waits_since;
   std::optional<net::Loop::Timer> limit;
 };
@@ -52,7 +52,7 @@
   for (const auto& [number, caller] : callers_) {
     if (caller->limit) loop_.cancel(*caller->limit);
   }
-  loop_.forget(listener_.get(), place_);
+  loop_.unwatch(listener_.get(), place_);
 }
 
 void HollowList::change(std::size_t server) {
@@ -96,9 +96,9 @@
   return out + "]}";
 }
 
-void HollowList::ready(bool, bool) {
+void HollowList::on_ready(bool, bool) {
   graves_.clear();
-  while (net::Descriptor fd = net::accept_from(listener_.get())) accept(std::move(fd));
+  while (net::Descriptor fd = net::accept_connection(listener_.get())) accept(std::move(fd));
 }
 
 void HollowList::accept(net::Descriptor fd) {
@@ -108,8 +108,8 @@
   callers_.emplace(caller->number, std::move(made));
   caller->stream =
       std::make_unique<net::Stream>(loop_, std::move(fd), true, kMostCall, kMostAnswer,
-                                    net::Stream::Told{nullptr, [this, caller] { arrived(*caller); }, nullptr,
-                                                      [this, caller](bool) { gone(*caller); }});
+                                    net::Stream::Callbacks{nullptr, [this, caller] { arrived(*caller); },
+                                                           nullptr, [this, caller](bool) { gone(*caller); }});
 }
 
 void HollowList::gone(Caller& caller) {
@@ -122,15 +122,15 @@
 }
 
 void HollowList::arrived(Caller& caller) {
-  net::Ring& in = caller.stream->in();
-  while (!in.empty() && !caller.stream->closed() && !caller.waits_since) {
-    const std::size_t taken = caller.reader.take(in.front());
+  net::RingBuffer& in = caller.stream->in();
+  while (!in.empty() && !caller.stream->is_closed() && !caller.waits_since) {
+    const std::size_t taken = caller.reader.feed(in.front());
     tally_.bytes_read += taken;
-    in.drop(taken);
-    if (caller.reader.state() == net::HttpReader::State::bad) return gone(caller);
-    if (caller.reader.state() != net::HttpReader::State::done) continue;
-    const std::string target = caller.reader.message().second;
-    caller.reader.restart();
+    in.consume(taken);
+    if (caller.reader.state() == net::HttpParser::State::malformed) return gone(caller);
+    if (caller.reader.state() != net::HttpParser::State::complete) continue;
+    const std::string target = caller.reader.message().target_or_status;
+    caller.reader.reset();
     called(caller, target);
   }
 }
@@ -147,7 +147,7 @@
   if (*since < index_ || wait <= 0) return answer(caller, *since);
   caller.waits_since = since;
   const Duration until = loop_.now() + std::chrono::milliseconds(std::min(wait, kLongestWait));
-  caller.limit = loop_.at(until, [this, &caller] {
+  caller.limit = loop_.call_at(until, [this, &caller] {
     caller.limit.reset();
     answer(caller, *caller.waits_since);
   });
@@ -163,7 +163,7 @@
   const std::string whole = head + "Content-Length: " + std::to_string(text.size()) + "\r\n\r\n" + text;
   if (!refusing_ && since == kWhole) tally_.wholes += 1;
   tally_.bytes_written += whole.size();
-  caller.stream->out().put(whole);
+  caller.stream->out().append(whole);
   caller.stream->flush();
 }
 
--- a/src/lab/scale/hollow_list.h
+++ b/src/lab/scale/hollow_list.h
@@ -19,7 +19,7 @@
   int cell = 0;
 };
 
-class HollowList final : public net::Watcher {
+class HollowList final : public net::EventHandler {
  public:
   // Throws std::system_error where the address cannot be had.
   HollowList(net::Loop& loop, const net::Address& listen, const std::vector<ListedServer>& servers);
@@ -45,7 +45,7 @@
   };
   const Tally& tally() const { return tally_; }
 
-  void ready(bool readable, bool writable) override;
+  void on_ready(bool readable, bool writable) override;
 
  private:
   struct Caller;
--- a/src/lab/scale/hollow_receivers.cpp
+++ b/src/lab/scale/hollow_receivers.cpp
@@ -95,8 +95,8 @@
   void apply(std::size_t number, const Revision& revision) {
     keep(revision);
     if (spec_.applies_after <= Duration::zero()) return applied(number, revision.index);
-    loop_.at(loop_.now() + spec_.applies_after,
-             [this, number, index = revision.index] { applied(number, index); });
+    loop_.call_at(loop_.now() + spec_.applies_after,
+                  [this, number, index = revision.index] { applied(number, index); });
   }
 
   void applied(std::size_t number, std::int64_t index) {
@@ -108,7 +108,7 @@
   void plan_sample() {
     const std::int64_t every = spec_.sample_every.count();
     const Duration wait(every - machine_microseconds() % every);
-    loop_.at(loop_.now() + wait, [this] {
+    loop_.call_at(loop_.now() + wait, [this] {
       sample();
       plan_sample();
     });
@@ -175,7 +175,7 @@
     loop.read_clock();
     Receivers receivers(loop, spec);
     for (;;) {
-      loop.gather();
+      loop.run_once();
       receivers.write_log();
     }
   } catch (const std::exception& wrong) {
--- a/src/lab/scale/installation.cpp
+++ b/src/lab/scale/installation.cpp
@@ -140,7 +140,7 @@
     return 1;
   }
   std::cout << "ready" << std::endl;
-  for (;;) loop.gather();
+  for (;;) loop.run_once();
 }
 
 }  // namespace marbledyke::lab::scale
--- a/src/lab/scale/lists.cpp
+++ b/src/lab/scale/lists.cpp
@@ -61,8 +61,8 @@
     const Duration limit = told + kInForceLimit;
     while (list_.named() < list_.index()) {
       if (run_.loop.now() > limit) throw std::runtime_error("a list was not in force in time");
-      run_.loop.at(limit, [] {});
-      run_.loop.gather();
+      run_.loop.call_at(limit, [] {});
+      run_.loop.run_once();
     }
     return list_.named_at() - told;
   }
--- a/src/lab/sockets.cpp
+++ b/src/lab/sockets.cpp
@@ -31,7 +31,7 @@
 constexpr int kRecords = 240;  // of the searchable sample
 constexpr Duration kReadyWithin = 10s;
 
-class Signals final : public net::Watcher {
+class Signals final : public net::EventHandler {
  public:
   explicit Signals(net::Loop& loop) : loop_(loop) {
     sigset_t which;
@@ -42,8 +42,8 @@
     fd_ = net::Descriptor(signalfd(-1, &which, SFD_NONBLOCK | SFD_CLOEXEC));
     place_ = loop_.watch(fd_.get(), *this);
   }
-  ~Signals() override { loop_.forget(fd_.get(), place_); }
-  void ready(bool, bool) override {
+  ~Signals() override { loop_.unwatch(fd_.get(), place_); }
+  void on_ready(bool, bool) override {
     signalfd_siginfo info{};
     while (read(fd_.get(), &info, sizeof info) == sizeof info)
       (info.ssi_signo == SIGCHLD ? child : stop) = true;
@@ -120,7 +120,7 @@
   void kill_server(std::size_t i) {
     leaves_[i]->set(0, Door::refuses);
     leaves_[i]->cut_all();
-    loop_.at(loop_.now() + 1s, [this, i] {
+    loop_.call_at(loop_.now() + 1s, [this, i] {
       if (leaves_[i]->door(0) != Door::refuses) return;
       listed_[i].status = "gone";
       discovery_.set(listed_[i]);
@@ -141,22 +141,22 @@
   void ask_health() {
     health_.reset();
     if (gatherer_ended() || loop_.now() > ready_by_) return told_(false);
-    const auto again = [this] { loop_.at(loop_.now() + 50ms, [this] { ask_health(); }); };
+    const auto again = [this] { loop_.call_at(loop_.now() + 50ms, [this] { ask_health(); }); };
     net::Descriptor fd = net::start_connect(gatherer_at_);
     if (!fd) return again();
     health_ = std::make_unique<net::Stream>(
         loop_, std::move(fd), false, 4096, 4096,
-        net::Stream::Told{[this] {
-                            health_->out().put(
-                                "GET /healthz HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n");
-                            health_->flush();
-                          },
-                          [this] {
-                            const bool fine = health_->in().front().starts_with("HTTP/1.1 200");
-                            health_->close();
-                            loop_.at(loop_.now(), [this, fine] { fine ? told_(true) : ask_health(); });
-                          },
-                          nullptr, [again](bool) { again(); }});
+        net::Stream::Callbacks{
+            [this] {
+              health_->out().append("GET /healthz HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n");
+              health_->flush();
+            },
+            [this] {
+              const bool fine = health_->in().front().starts_with("HTTP/1.1 200");
+              health_->close();
+              loop_.call_at(loop_.now(), [this, fine] { fine ? told_(true) : ask_health(); });
+            },
+            nullptr, [again](bool) { again(); }});
   }
 
   net::Loop& loop_;
@@ -173,7 +173,7 @@
 };
 
 void progress(net::Loop& loop, const Load& load) {
-  loop.at(loop.now() + 1s, [&loop, &load] {
+  loop.call_at(loop.now() + 1s, [&loop, &load] {
     if (!load.running()) return;
     const Load::Tally& t = load.tally();
     std::fprintf(stderr, "%3lld s  due %llu  answered %llu  pushed back %llu  failed %llu  99th %.1f ms\n",
@@ -234,7 +234,7 @@
       running = false;
     });
     while (running && !signals.stop) {
-      loop.gather();
+      loop.run_once();
       if (std::exchange(signals.child, false) && installation.gatherer_ended()) {
         std::cerr << "marbledyke-lab: the gatherer ended\n";
         status = 1;
@@ -256,7 +256,7 @@
     Signals signals(loop);
     Load clients(loop, *to, options);
     progress(loop, clients);
-    while (clients.running() && !signals.stop) loop.gather();
+    while (clients.running() && !signals.stop) loop.run_once();
     std::cout << clients.result() << std::endl;
     return clients.tally().answered > 0 ? 0 : 1;
   } catch (const std::exception& why) {
@@ -272,7 +272,7 @@
     Installation installation(loop, up_options);
     std::optional<bool> ready;
     installation.when_ready([&](bool is) { ready = is; });
-    while (!ready && !signals.stop) loop.gather();
+    while (!ready && !signals.stop) loop.run_once();
     if (!ready.value_or(false)) throw std::runtime_error("the gatherer did not come up");
     std::cout << installation.servers() << " shard servers, discovery and a gatherer at "
               << installation.gatherer().text() << "; " << load_options.rate << " multigets a second for "
@@ -282,15 +282,15 @@
     Load clients(loop, installation.gatherer(), options);
     progress(loop, clients);
     const Duration third = std::chrono::seconds(options.seconds) / 3;
-    loop.at(loop.now() + third, [&] {
+    loop.call_at(loop.now() + third, [&] {
       std::cout << "leaf-0 is killed" << std::endl;
       installation.kill_server(0);
     });
-    loop.at(loop.now() + 2 * third, [&] {
+    loop.call_at(loop.now() + 2 * third, [&] {
       std::cout << "leaf-0 is back, cold" << std::endl;
       installation.return_server(0);
     });
-    while (clients.running() && !signals.stop && !installation.gatherer_ended()) loop.gather();
+    while (clients.running() && !signals.stop && !installation.gatherer_ended()) loop.run_once();
     for (std::size_t i = 0; i < installation.servers(); ++i)
       std::cout << "leaf-" << i << " ran " << installation.parts(i) << " parts\n";
     std::cout << clients.result() << std::endl;
--- a/src/lab/stage.cpp
+++ b/src/lab/stage.cpp
@@ -101,7 +101,7 @@
     next_arrival();
     later(1s, [this] { watch_children(); });
     beat(loop_.now());
-    while (!stop && now() < s_.length + kAfter) loop_.gather();
+    while (!stop && now() < s_.length + kAfter) loop_.run_once();
     Staged out;
     out.late = late_;
     checker_.finish(now());
@@ -134,7 +134,7 @@
     std::uint64_t number = 0;
     int front = 0;
     std::unique_ptr<net::Stream> stream;
-    net::HttpReader reader{net::HttpReader::Kind::answer, 1024 * 1024};
+    net::HttpParser reader{net::HttpParser::Kind::response, 1024 * 1024};
     std::optional<Asking> asking;
     bool used = false;  // has had an answer
   };
@@ -166,7 +166,7 @@
   };
 
   Duration now() const { return loop_.now() - begun_; }
-  void later(Duration when, std::function<void()> what) { loop_.at(begun_ + when, std::move(what)); }
+  void later(Duration when, std::function<void()> what) { loop_.call_at(begun_ + when, std::move(what)); }
   bool counts() const { return clients_.counts(now()); }
 
   void note(Event event) {
@@ -356,24 +356,24 @@
         if (fd) {
           stream = std::make_unique<net::Stream>(
               loop_, std::move(fd), false, 4096, 4096,
-              net::Stream::Told{[&] {
-                                  stream->out().put("GET /healthz HTTP/1.1\r\nHost: lab\r\n\r\n");
-                                  stream->flush();
-                                },
-                                [&] {
-                                  ready = stream->in().front().starts_with("HTTP/1.1 200");
-                                  said = true;
-                                },
-                                nullptr, [&](bool) { said = true; }});
+              net::Stream::Callbacks{[&] {
+                                       stream->out().append("GET /healthz HTTP/1.1\r\nHost: lab\r\n\r\n");
+                                       stream->flush();
+                                     },
+                                     [&] {
+                                       ready = stream->in().front().starts_with("HTTP/1.1 200");
+                                       said = true;
+                                     },
+                                     nullptr, [&](bool) { said = true; }});
         }
         for (const Duration until = loop_.now() + 200ms; !said && loop_.now() < until;) {
-          loop_.at(loop_.now() + 10ms, [] {});
-          loop_.gather();
+          loop_.call_at(loop_.now() + 10ms, [] {});
+          loop_.run_once();
         }
         if (!ready) {
           for (const Duration until = loop_.now() + 20ms; loop_.now() < until;) {
-            loop_.at(until, [] {});
-            loop_.gather();
+            loop_.call_at(until, [] {});
+            loop_.run_once();
           }
         }
       }
@@ -384,7 +384,7 @@
   void beat(Duration due) {
     late_ = std::max(late_, seconds(loop_.now() - due));
     const Duration next = loop_.now() + kBeat;
-    loop_.at(next, [this, next] { beat(next); });
+    loop_.call_at(next, [this, next] { beat(next); });
   }
 
   void watch_children() {
@@ -408,8 +408,8 @@
                                                        : "gone";
       if (cold) listed.since_ms = since_[server];
       const double share = std::uniform_real_distribution<double>(0, 1)(lag_);
-      loop_.at(loop_.now() + span_of(seconds(s_.list.lag) * share),
-               [&front = *front, listed] { front.discovery->set(listed); });
+      loop_.call_at(loop_.now() + span_of(seconds(s_.list.lag) * share),
+                    [&front = *front, listed] { front.discovery->set(listed); });
     }
     standing_[server] = standing;
   }
@@ -617,7 +617,8 @@
       front.alive = true;
       return;
     }
-    if (now() < s_.length) loop_.at(loop_.now() + 10ms, [this, &front, number] { follow(front, number); });
+    if (now() < s_.length)
+      loop_.call_at(loop_.now() + 10ms, [this, &front, number] { follow(front, number); });
   }
 
   void kill_kept(Front& front, int number) {
@@ -711,8 +712,8 @@
     front.lines += 1;
     line->stream = std::make_unique<net::Stream>(
         loop_, std::move(fd), false, 256 * 1024, 64 * 1024,
-        net::Stream::Told{[this, line] { write(*line); }, [this, line] { heard(*line); }, nullptr,
-                          [this, line](bool) { broke(*line); }});
+        net::Stream::Callbacks{[this, line] { write(*line); }, [this, line] { heard(*line); }, nullptr,
+                               [this, line](bool) { broke(*line); }});
     line->stream->flush();
   }
 
@@ -747,16 +748,16 @@
     event.count = static_cast<int>(asking.shards.size());
     event.until = asking.until;
     note(event);
-    line.stream->out().put("POST /api HTTP/1.1\r\nHost: lab\r\nX-Request-Id: " + std::string(id) +
-                           "\r\nX-Class: " + op.name +
-                           "\r\nX-Tenant: lab\r\nX-Deadline-Ms: " + std::to_string(left) +
-                           "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+    line.stream->out().append("POST /api HTTP/1.1\r\nHost: lab\r\nX-Request-Id: " + std::string(id) +
+                              "\r\nX-Class: " + op.name +
+                              "\r\nX-Tenant: lab\r\nX-Deadline-Ms: " + std::to_string(left) +
+                              "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
     line.stream->flush();
     // What it still refers to is forgotten some time after its end.
-    loop_.at(begun_ + asking.until + 5s, [this, uid = asking.uid] { works_.erase(uid); });
+    loop_.call_at(begun_ + asking.until + 5s, [this, uid = asking.uid] { works_.erase(uid); });
     Duration ends = asking.until + kCrossing;
     if (const auto share = clients_.leaves()) ends = now() + span_of(seconds(asking.until - now()) * *share);
-    loop_.at(begun_ + ends, [this, number = line.number, uid = asking.uid] { time_is_up(number, uid); });
+    loop_.call_at(begun_ + ends, [this, number = line.number, uid = asking.uid] { time_is_up(number, uid); });
   }
 
   // Its time is up, or it has had enough: its connection ends, which is how it leaves.
@@ -779,18 +780,18 @@
   }
 
   void heard(Line& line) {
-    net::Ring& in = line.stream->in();
-    while (!in.empty() && !line.stream->closed()) {
-      in.drop(line.reader.take(in.front()));
-      if (line.reader.state() == net::HttpReader::State::reading) continue;
-      if (line.reader.state() == net::HttpReader::State::bad || !line.asking) return broke(line);
+    net::RingBuffer& in = line.stream->in();
+    while (!in.empty() && !line.stream->is_closed()) {
+      in.consume(line.reader.feed(in.front()));
+      if (line.reader.state() == net::HttpParser::State::incomplete) continue;
+      if (line.reader.state() == net::HttpParser::State::malformed || !line.asking) return broke(line);
       const net::HttpMessage message = std::move(line.reader.message());
-      line.reader.restart();
+      line.reader.reset();
       const Asking asking = std::move(*line.asking);
       line.asking.reset();
       line.used = true;
       answered(line.front, asking, message);
-      if (!message.stays()) return close(line);
+      if (!message.keeps_alive()) return close(line);
       Front& front = *fronts_[static_cast<std::size_t>(line.front)];
       if (front.waiting.empty()) {
         front.idle.push_back(line.number);
@@ -806,7 +807,8 @@
     Event event;
     event.gatherer = front;
     event.multiget = asking.uid;
-    const bool served = message.second == "200", refused = message.second == "429" || message.second == "503";
+    const bool served = message.target_or_status == "200",
+               refused = message.target_or_status == "429" || message.target_or_status == "503";
     event.what = served ? What::answered : refused ? What::pushed_back : What::failed;
     event.whole = message.body.find("\"entire\":true") != std::string::npos;
     for (std::size_t at = 0; (at = message.body.find("\"slice\":", at)) != std::string::npos; ++at)
@@ -862,16 +864,16 @@
     front.lines -= 1;
     graves_.push_back(std::move(at->second));
     lines_.erase(at);
-    if (graves_.size() == 1) loop_.at(loop_.now(), [this] { graves_.clear(); });
+    if (graves_.size() == 1) loop_.call_at(loop_.now(), [this] { graves_.clear(); });
     if (front.waiting.empty()) return;
     Asking next = std::move(front.waiting.front());
     front.waiting.pop_front();
-    loop_.at(loop_.now(), [this, number = line.front, next] { put(number, next); });
+    loop_.call_at(loop_.now(), [this, number = line.front, next] { put(number, next); });
   }
 
   void not_served(std::uint32_t i, Duration come_back, bool pushed_back) {
     if (const auto wait = clients_.not_served(i, come_back, pushed_back, now()))
-      loop_.at(loop_.now() + *wait, [this, i] { try_once(i); });
+      loop_.call_at(loop_.now() + *wait, [this, i] { try_once(i); });
   }
 
   void count_up() {
--- a/src/list/watch.h
+++ b/src/list/discovery_client.h
@@ -8,34 +8,34 @@
 #include <optional>
 #include <string>
 
-#include "list/news.h"
+#include "list/list_update.h"
+#include "net/descriptor_reserve.h"
 #include "net/http.h"
 #include "net/loop.h"
 #include "net/socket.h"
-#include "net/spare.h"
 
 namespace marbledyke::list {
 
-class Watch {
+class DiscoveryClient {
  public:
-  struct Told {
-    std::function<void(News)> news;
+  struct Callbacks {
+    std::function<void(ListUpdate)> on_update;
     // A call failed, and with it the watch; asked for again within that.
-    std::function<void(Duration most_backoff)> refused;
+    std::function<void(Duration max_backoff)> on_failed;
   };
 
-  Watch(net::Loop& loop, const config::Commission& commission, Duration unix_start, Told told);
+  DiscoveryClient(net::Loop& loop, const config::Commission& commission, Duration unix_start, Callbacks told);
 
-  void held(std::int64_t index) { index_ = index; }  // the version of the list that is held
-  void ask(bool watching);  // the changes since, and then each as it comes; or the whole list once
+  void set_known_index(std::int64_t index) { index_ = index; }  // the version of the list that is held
+  void request_list(bool watching);  // the changes since, and then each as it comes; or the whole list once
   // Another place to ask, from now on; what it says first is the whole list.
-  void move(const net::Address& address, const std::string& host);
+  void set_endpoint(const net::Address& address, const std::string& host);
 
  private:
   // A connection to discovery, and the call that is out on it.
   struct Line {
     std::unique_ptr<net::Stream> stream, last;  // the last one may still be telling of its end
-    net::HttpReader reader;
+    net::HttpParser reader;
     std::optional<net::Loop::Timer> patience;
     Duration began{}, wait{};
     bool calling = false;
@@ -58,9 +58,9 @@
   net::Address address_;
   std::string host_;
   Duration unix_start_;
-  Told told_;
+  Callbacks callbacks_;
   std::array<Line, 2> lines_;
-  net::Spare spare_{2};  // clients may take all others while discovery is away
+  net::DescriptorReserve spare_{2};  // clients may take all others while discovery is away
   std::optional<std::int64_t> index_;
   bool watching_ = false, whole_ = false;
 };
--- a/src/list/news.cpp
+++ b/src/list/list_update.cpp
@@ -1,4 +1,4 @@
-#include "list/news.h"
+#include "list/list_update.h"
 
 #include <algorithm>
 
@@ -18,7 +18,7 @@
 }
 
 // What other installations say beside `address`. One that cannot be read costs itself, not its server.
-void further_addresses(const json& from, Entry& into, int& odd) {
+void further_addresses(const json& from, ServerEntry& into, int& odd) {
   const auto named = from.find("addresses");
   if (named == from.end() || named->is_null()) return;
   if (!named->is_array()) {
@@ -36,8 +36,8 @@
   }
 }
 
-Entry entry(const json& from, const config::Carriage& carriage, Duration unix_start, int& odd) {
-  Entry out;
+ServerEntry entry(const json& from, const config::Carriage& carriage, Duration unix_start, int& odd) {
+  ServerEntry out;
   out.row.server = config::text(from, "name");
   if (out.row.server.empty()) throw BadInput("name: empty");
   const auto address = net::parse_address(config::text(from, "address"));
@@ -64,24 +64,24 @@
   return name != from.end() && name->is_string() ? name->get<std::string>() : std::string();
 }
 
-void leave_out(const json& from, const BadInput& wrong, News& news) {
-  ++news.skipped;
+void leave_out(const json& from, const BadInput& wrong, ListUpdate& news) {
+  ++news.skipped_entries;
   std::string name = name_of(from);
-  if (news.fault.empty()) news.fault = (name.empty() ? "an entry" : name) + ": " + wrong.what();
-  if (!name.empty()) news.unreadable.insert(std::move(name));
+  if (news.first_error.empty()) news.first_error = (name.empty() ? "an entry" : name) + ": " + wrong.what();
+  if (!name.empty()) news.unreadable_servers.insert(std::move(name));
 }
 
 }  // namespace
 
-News read_news(const json& from, const config::Carriage& carriage, Duration unix_start) {
-  News out;
+ListUpdate parse_list_update(const json& from, const config::Carriage& carriage, Duration unix_start) {
+  ListUpdate out;
   out.index = config::whole(from, "index");
   const json& whole = config::need(from, "snapshot");
   if (!whole.is_boolean()) throw BadInput("snapshot: not true or false");
-  out.whole = whole.get<bool>();
+  out.is_snapshot = whole.get<bool>();
   for (const json& one : config::array(from, "endpoints")) {
     try {
-      out.entries.push_back(entry(one, carriage, unix_start, out.odd_addresses));
+      out.entries.push_back(entry(one, carriage, unix_start, out.invalid_addresses));
     } catch (const BadInput& wrong) {
       leave_out(one, wrong, out);
     }
--- a/src/list/news.h
+++ b/src/list/list_update.h
@@ -13,24 +13,24 @@
 
 namespace marbledyke::list {
 
-struct Entry {
+struct ServerEntry {
   ListRow row;
   std::vector<net::Address> addresses;  // `address`, then those of the optional `addresses`
 };
 
-struct News {
+struct ListUpdate {
   std::int64_t index = 0;
-  bool whole = false;
-  std::vector<Entry> entries;
-  int skipped = 0;                                // entries that cannot be read
-  std::set<std::string, std::less<>> unreadable;  // their names, of those that have one
-  std::string fault;                              // of the first of them: its name and what is wrong
-  int odd_addresses = 0;                          // further addresses that made none; their entries stand
+  bool is_snapshot = false;
+  std::vector<ServerEntry> entries;
+  int skipped_entries = 0;                                // entries that cannot be read
+  std::set<std::string, std::less<>> unreadable_servers;  // their names, of those that have one
+  std::string first_error;                                // of the first of them: its name and what is wrong
+  int invalid_addresses = 0;  // further addresses that made none; their entries stand
 };
 
 // unix_start is the Unix time at which the gatherer's own clock stood at zero. Throws config::BadInput where
 // the whole makes no sense. A single entry that cannot be read is left out and counted; its server keeps its
 // last state, also in a whole list.
-News read_news(const config::json& from, const config::Carriage& carriage, Duration unix_start);
+ListUpdate parse_list_update(const config::json& from, const config::Carriage& carriage, Duration unix_start);
 
 }  // namespace marbledyke::list
--- a/src/net/address.cpp
+++ b/src/net/address.cpp
@@ -29,7 +29,7 @@
 
 std::string_view name_of(Family family) { return kFamilies[static_cast<std::size_t>(family)]; }
 
-std::optional<Family> family_named(std::string_view name) {
+std::optional<Family> parse_family(std::string_view name) {
   const auto at = std::find(kFamilies.begin(), kFamilies.end(), name);
   if (at == kFamilies.end()) return std::nullopt;
   return static_cast<Family>(at - kFamilies.begin());
@@ -81,7 +81,7 @@
          "]:" + std::to_string(port_);
 }
 
-socklen_t Address::put(sockaddr_storage& out) const {
+socklen_t Address::to_sockaddr(sockaddr_storage& out) const {
   std::memset(&out, 0, sizeof out);
   if (family_ == Family::local) {
     sockaddr_un to{};
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -14,7 +14,7 @@
 
 enum class Family { local, ip6, ip4 };
 std::string_view name_of(Family family);  // "local", "ip6", "ip4"
-std::optional<Family> family_named(std::string_view name);
+std::optional<Family> parse_family(std::string_view name);
 
 class Address {
  public:
@@ -24,7 +24,7 @@
   // As it is written in configuration; equal addresses have equal texts.
   std::string text() const;
   // In the form that sockets take; gives the length.
-  socklen_t put(sockaddr_storage& out) const;
+  socklen_t to_sockaddr(sockaddr_storage& out) const;
 
   // Of the same family in the same order every time.
   auto operator<=>(const Address&) const = default;
--- a/src/net/spare.h
+++ b/src/net/descriptor_reserve.h
@@ -10,21 +10,21 @@
 
 namespace marbledyke::net {
 
-class Spare {
+class DescriptorReserve {
  public:
-  explicit Spare(std::size_t count) : count_(count) { in_use(0); }
+  explicit DescriptorReserve(std::size_t count) : count_(count) { set_in_use(0); }
 
-  std::size_t held() const { return held_.size(); }
+  std::size_t held_count() const { return held_.size(); }
 
   // Gives one of them up, so that the next descriptor can be opened; false: none is held.
-  bool lend() {
+  bool release_one() {
     if (held_.empty()) return false;
     held_.pop_back();
     return true;
   }
 
   // Takes one back; false: there is no descriptor to be had now.
-  bool take_back() {
+  bool reacquire_one() {
     Descriptor fd(open("/dev/null", O_RDONLY | O_CLOEXEC));
     if (!fd) return false;
     held_.push_back(std::move(fd));
@@ -32,11 +32,11 @@
   }
 
   // So many of them are needed now, or have been given back; the others are held.
-  void in_use(std::size_t used) {
+  void set_in_use(std::size_t used) {
     const std::size_t want = used < count_ ? count_ - used : 0;
     while (held_.size() > want) held_.pop_back();
     while (held_.size() < want) {
-      if (!take_back()) return;  // nobody had one to spare; tried again the next time
+      if (!reacquire_one()) return;  // nobody had one to spare; tried again the next time
     }
   }
 
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -61,29 +61,29 @@
       std::count_if(headers.begin(), headers.end(), [&](const auto& one) { return one.first == name; }));
 }
 
-bool HttpMessage::stays() const {
+bool HttpMessage::keeps_alive() const {
   const std::string* connection = header("connection");
-  const std::string& version = first.starts_with("HTTP/") ? first : third;
+  const std::string& version = method_or_version.starts_with("HTTP/") ? method_or_version : version_or_reason;
   if (version == "HTTP/1.0") return connection != nullptr && lists(*connection, "keep-alive");
   return connection == nullptr || !lists(*connection, "close");
 }
 
-void HttpReader::restart() { *this = HttpReader(kind_, most_body_); }
+void HttpParser::reset() { *this = HttpParser(kind_, max_body_); }
 
-void HttpReader::bad(int complaint) {
-  state_ = State::bad;
-  complaint_ = complaint;
+void HttpParser::fail(int status) {
+  state_ = State::malformed;
+  error_status_ = status;
 }
 
-std::size_t HttpReader::take(std::string_view bytes) {
+std::size_t HttpParser::feed(std::string_view bytes) {
   std::size_t used = 0;
-  while (state_ == State::reading && used < bytes.size()) {
-    begun_ = true;
+  while (state_ == State::incomplete && used < bytes.size()) {
+    started_ = true;
     if (at_ == At::body || at_ == At::chunk || at_ == At::to_the_end) {
       std::size_t count = bytes.size() - used;
       if (at_ != At::to_the_end) count = std::min(left_, count);
-      if (message_.body.size() + count > most_body_) {
-        bad(413);
+      if (message_.body.size() + count > max_body_) {
+        fail(413);
         break;
       }
       message_.body.append(bytes, used, count);
@@ -91,13 +91,13 @@
       if (at_ == At::to_the_end) continue;
       left_ -= count;
       if (left_ > 0) continue;
-      if (at_ == At::body) state_ = State::done;
+      if (at_ == At::body) state_ = State::complete;
       at_ = At::chunk_end;
       continue;
     }
     const char c = bytes[used++];
     if (++head_size_ > kMostHead) {
-      bad(431);
+      fail(431);
     } else if (c != '\n') {
       line_ += c;
     } else {
@@ -109,17 +109,17 @@
   return used;
 }
 
-void HttpReader::peer_closed() {
-  if (state_ != State::reading) return;
+void HttpParser::on_peer_closed() {
+  if (state_ != State::incomplete) return;
   if (at_ == At::to_the_end) {
-    state_ = State::done;
+    state_ = State::complete;
   } else {
-    bad(400);
+    fail(400);
   }
 }
 
-void HttpReader::line() {
-  if (line_.find('\r') != std::string::npos || line_.find('\0') != std::string::npos) return bad(400);
+void HttpParser::line() {
+  if (line_.find('\r') != std::string::npos || line_.find('\0') != std::string::npos) return fail(400);
   switch (at_) {
     case At::first_line:
       if (line_.empty() && kind_ == Kind::request) return;  // a stray line end before a request is harmless
@@ -129,11 +129,11 @@
     case At::chunk_size:
       return chunk_line();
     case At::chunk_end:
-      if (!line_.empty()) return bad(400);
+      if (!line_.empty()) return fail(400);
       at_ = At::chunk_size;
       return;
     case At::trailer:
-      if (line_.empty()) state_ = State::done;
+      if (line_.empty()) state_ = State::complete;
       return;
     case At::body:
     case At::chunk:
@@ -142,50 +142,55 @@
   }
 }
 
-void HttpReader::first_line() {
+void HttpParser::first_line() {
   const std::size_t one = line_.find(' ');
   const std::size_t two = one == std::string::npos ? one : line_.find(' ', one + 1);
-  if (one == std::string::npos || one == 0) return bad(400);
-  message_.first = line_.substr(0, one);
-  message_.second = line_.substr(one + 1, two == std::string::npos ? two : two - one - 1);
-  if (two != std::string::npos) message_.third = line_.substr(two + 1);
-  const std::string& version = kind_ == Kind::request ? message_.third : message_.first;
-  if (!version.starts_with("HTTP/") || message_.second.empty()) return bad(400);
-  if (version != "HTTP/1.1" && version != "HTTP/1.0") return bad(505);
-  if (kind_ == Kind::request && !std::all_of(message_.first.begin(), message_.first.end(), token_char))
-    return bad(400);
-  if (kind_ == Kind::answer && (message_.second.size() != 3 || !number(message_.second, 10))) return bad(400);
+  if (one == std::string::npos || one == 0) return fail(400);
+  message_.method_or_version = line_.substr(0, one);
+  message_.target_or_status = line_.substr(one + 1, two == std::string::npos ? two : two - one - 1);
+  if (two != std::string::npos) message_.version_or_reason = line_.substr(two + 1);
+  const std::string& version =
+      kind_ == Kind::request ? message_.version_or_reason : message_.method_or_version;
+  if (!version.starts_with("HTTP/") || message_.target_or_status.empty()) return fail(400);
+  if (version != "HTTP/1.1" && version != "HTTP/1.0") return fail(505);
+  if (kind_ == Kind::request &&
+      !std::all_of(message_.method_or_version.begin(), message_.method_or_version.end(), token_char))
+    return fail(400);
+  if (kind_ == Kind::response &&
+      (message_.target_or_status.size() != 3 || !number(message_.target_or_status, 10)))
+    return fail(400);
   at_ = At::header;
 }
 
-void HttpReader::header_line() {
+void HttpParser::header_line() {
   const std::size_t colon = line_.find(':');
-  if (colon == std::string::npos || colon == 0) return bad(400);
+  if (colon == std::string::npos || colon == 0) return fail(400);
   const std::string_view name = std::string_view(line_).substr(0, colon);
   // A space before the colon or a folded line is read differently by different readers, so neither is read.
-  if (!std::all_of(name.begin(), name.end(), token_char)) return bad(400);
+  if (!std::all_of(name.begin(), name.end(), token_char)) return fail(400);
   message_.headers.emplace_back(lowered(name), trimmed(std::string_view(line_).substr(colon + 1)));
 }
 
-void HttpReader::head_read() {
+void HttpParser::head_read() {
   std::optional<std::size_t> length;
   bool chunked = false;
   for (const auto& [name, value] : message_.headers) {
     if (name == "content-length") {
       const auto stated = number(value, 10);
-      if (!stated || (length && *length != *stated)) return bad(400);
+      if (!stated || (length && *length != *stated)) return fail(400);
       length = stated;
     } else if (name == "transfer-encoding") {
-      if (chunked || lowered(value) != "chunked") return bad(400);
+      if (chunked || lowered(value) != "chunked") return fail(400);
       chunked = true;
     }
   }
-  if (chunked && length) return bad(400);  // two readers could end it at two places
-  if (length && *length > most_body_) return bad(413);
-  const bool bare = kind_ == Kind::answer &&
-                    (message_.second[0] == '1' || message_.second == "204" || message_.second == "304");
-  if (bare && message_.second[0] == '1') {  // an interim answer; the real one follows
-    restart();
+  if (chunked && length) return fail(400);  // two readers could end it at two places
+  if (length && *length > max_body_) return fail(413);
+  const bool bare =
+      kind_ == Kind::response && (message_.target_or_status[0] == '1' || message_.target_or_status == "204" ||
+                                  message_.target_or_status == "304");
+  if (bare && message_.target_or_status[0] == '1') {  // an interim answer; the real one follows
+    reset();
     return;
   }
   if (chunked) {
@@ -194,16 +199,16 @@
     left_ = *length;
     at_ = At::body;
   } else if (length || bare || kind_ == Kind::request) {
-    state_ = State::done;
+    state_ = State::complete;
   } else {
     at_ = At::to_the_end;
   }
 }
 
-void HttpReader::chunk_line() {
+void HttpParser::chunk_line() {
   const auto size = number(trimmed(std::string_view(line_).substr(0, line_.find(';'))), 16);
-  if (!size) return bad(400);
-  if (*size > most_body_ - message_.body.size()) return bad(413);
+  if (!size) return fail(400);
+  if (*size > max_body_ - message_.body.size()) return fail(413);
   left_ = *size;
   at_ = *size == 0 ? At::trailer : At::chunk;
   head_size_ = 0;
@@ -240,17 +245,17 @@
 
 }  // namespace
 
-std::string answer_text(int status, std::string_view type, std::string_view body, bool stays,
-                        Duration come_back) {
+std::string format_response(int status, std::string_view type, std::string_view body, bool keep_alive,
+                            Duration retry_after) {
   std::string out = "HTTP/1.1 " + std::to_string(status) + ' ' + reason(status) + "\r\n";
   out.append("Content-Type: ").append(type).append("\r\n");
   out += "Content-Length: " + std::to_string(body.size()) + "\r\n";
-  if (come_back > Duration::zero()) {
+  if (retry_after > Duration::zero()) {
     char seconds[32];
-    std::snprintf(seconds, sizeof seconds, "%.3f", static_cast<double>(come_back.count()) * 1e-6);
+    std::snprintf(seconds, sizeof seconds, "%.3f", static_cast<double>(retry_after.count()) * 1e-6);
     out += std::string("Retry-After: ") + seconds + "\r\n";
   }
-  if (!stays) out += "Connection: close\r\n";
+  if (!keep_alive) out += "Connection: close\r\n";
   return out.append("\r\n").append(body);
 }
 
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -13,32 +13,33 @@
 namespace marbledyke::net {
 
 struct HttpMessage {
-  std::string first, second, third;  // method, target, version; or version, status, reason
+  std::string method_or_version, target_or_status,
+      version_or_reason;  // method, target, version; or version, status, reason
   std::vector<std::pair<std::string, std::string>> headers;  // names in lower case, in their order
   std::string body;
 
   const std::string* header(std::string_view name) const;  // the first of that name
   std::size_t count(std::string_view name) const;
-  bool stays() const;  // the sender will keep the connection
+  bool keeps_alive() const;  // the sender will keep the connection
 };
 
-class HttpReader {
+class HttpParser {
  public:
-  enum class Kind { request, answer };
-  enum class State { reading, done, bad };
+  enum class Kind { request, response };
+  enum class State { incomplete, complete, malformed };
 
-  HttpReader(Kind kind, std::size_t most_body) : kind_(kind), most_body_(most_body) {}
+  HttpParser(Kind kind, std::size_t max_body) : kind_(kind), max_body_(max_body) {}
 
   // Takes what belongs to the message and gives how much that was.
-  std::size_t take(std::string_view bytes);
+  std::size_t feed(std::string_view bytes);
   // An answer without a stated length ends with its connection.
-  void peer_closed();
+  void on_peer_closed();
 
   State state() const { return state_; }
-  bool begun() const { return begun_; }
-  int complaint() const { return complaint_; }  // of a bad message: 400, 413, 431 or 505
+  bool has_started() const { return started_; }
+  int error_status() const { return error_status_; }  // of a bad message: 400, 413, 431 or 505
   HttpMessage& message() { return message_; }
-  void restart();
+  void reset();
 
  private:
   enum class At { first_line, header, body, chunk_size, chunk, chunk_end, trailer, to_the_end };
@@ -48,14 +49,14 @@
   void header_line();
   void head_read();
   void chunk_line();
-  void bad(int complaint);
+  void fail(int status);
 
   Kind kind_;
-  std::size_t most_body_;
-  State state_ = State::reading;
+  std::size_t max_body_;
+  State state_ = State::incomplete;
   At at_ = At::first_line;
-  bool begun_ = false;
-  int complaint_ = 0;
+  bool started_ = false;
+  int error_status_ = 0;
   std::size_t head_size_ = 0;
   std::size_t left_ = 0;  // of the body or the chunk
   std::string line_;
@@ -63,7 +64,7 @@
 };
 
 // A whole answer; come_back of zero gives no advice.
-std::string answer_text(int status, std::string_view type, std::string_view body, bool stays,
-                        Duration come_back);
+std::string format_response(int status, std::string_view type, std::string_view body, bool keep_alive,
+                            Duration retry_after);
 
 }  // namespace marbledyke::net
--- a/src/net/json_server.cpp
+++ b/src/net/json_server.cpp
@@ -17,21 +17,21 @@
 }  // namespace
 
 struct JsonServer::Connection {
-  explicit Connection(std::size_t most_body) : reader(HttpReader::Kind::request, most_body) {}
+  explicit Connection(std::size_t most_body) : reader(HttpParser::Kind::request, most_body) {}
 
   // reading, waiting for the owner, answering; parting: what still comes is dropped.
   enum class Phase { reading, waiting, answering, parting };
 
-  Caller number = 0;
+  ConnectionId number = 0;
   std::unique_ptr<Stream> stream;
-  HttpReader reader;
+  HttpParser reader;
   Phase phase = Phase::reading;
   Duration since{};  // the request's first byte, the beginning of the phase, or the end of the last request
   bool stays = true;
 };
 
-JsonServer::JsonServer(Loop& loop, const Address& address, const Bounds& bounds, Told told)
-    : loop_(loop), bounds_(bounds), told_(std::move(told)) {
+JsonServer::JsonServer(Loop& loop, const Address& address, const Limits& limits, Callbacks told)
+    : loop_(loop), limits_(limits), callbacks_(std::move(told)) {
   const std::string text = address.text();
   if (address.family() == Family::local && text.starts_with("unix:/")) {
     path_ = text.substr(5);
@@ -39,8 +39,8 @@
   }
   listener_ = std::make_unique<Listener>(
       loop, address,
-      Listener::Told{[this] { return callers_.size() < bounds_.callers; }, [] { return false; },
-                     [this](Descriptor fd) { came(std::move(fd)); }});
+      Listener::Callbacks{[this] { return connections_.size() < limits_.max_connections; },
+                          [] { return false; }, [this](Descriptor fd) { came(std::move(fd)); }});
   sweep();
 }
 
@@ -51,16 +51,16 @@
 }
 
 void JsonServer::came(Descriptor fd) {
-  auto made = std::make_unique<Connection>(bounds_.body);
+  auto made = std::make_unique<Connection>(limits_.max_body_bytes);
   Connection* const connection = made.get();
   connection->number = next_++;
   connection->since = loop_.now();
-  callers_.emplace(connection->number, std::move(made));
+  connections_.emplace(connection->number, std::move(made));
   connection->stream =
-      std::make_unique<Stream>(loop_, std::move(fd), true, bounds_.body, kMostAnswer,
-                               Stream::Told{nullptr, [this, connection] { arrived(*connection); },
-                                            [this, connection] { drained(*connection); },
-                                            [this, connection](bool) { drop(*connection); }});
+      std::make_unique<Stream>(loop_, std::move(fd), true, limits_.max_body_bytes, kMostAnswer,
+                               Stream::Callbacks{nullptr, [this, connection] { arrived(*connection); },
+                                                 [this, connection] { drained(*connection); },
+                                                 [this, connection](bool) { drop(*connection); }});
 }
 
 void JsonServer::drained(Connection& connection) {
@@ -68,55 +68,55 @@
   connection.since = loop_.now();
   connection.phase = connection.stays ? Connection::Phase::reading : Connection::Phase::parting;
   // A close over bytes that were not read is a reset, which can overtake the answer.
-  if (!connection.stays) return connection.stream->finish();
+  if (!connection.stays) return connection.stream->shutdown_write();
   arrived(connection);
 }
 
 void JsonServer::drop(Connection& connection) {
   connection.stream->close();
-  const auto at = callers_.find(connection.number);
-  if (at == callers_.end()) return;
+  const auto at = connections_.find(connection.number);
+  if (at == connections_.end()) return;
   const bool waited = connection.phase == Connection::Phase::waiting;
   graves_.push_back(std::move(at->second));
-  callers_.erase(at);
-  if (graves_.size() == 1) loop_.at(loop_.now(), [this] { graves_.clear(); });
-  listener_->again();
-  if (waited && told_.left) told_.left(connection.number);
+  connections_.erase(at);
+  if (graves_.size() == 1) loop_.call_at(loop_.now(), [this] { graves_.clear(); });
+  listener_->resume();
+  if (waited && callbacks_.on_abandoned) callbacks_.on_abandoned(connection.number);
 }
 
 void JsonServer::arrived(Connection& connection) {
   using Phase = Connection::Phase;
-  Ring& in = connection.stream->in();
+  RingBuffer& in = connection.stream->in();
   const bool last = !connection.stays && connection.phase == Phase::answering;
   if (connection.phase == Phase::parting || last) {
     in.clear();
-    return connection.stream->read_on();
+    return connection.stream->resume_reading();
   }
-  while (!in.empty() && connection.phase == Phase::reading && !connection.stream->closed()) {
-    if (!connection.reader.begun()) connection.since = loop_.now();
-    in.drop(connection.reader.take(in.front()));
-    if (connection.reader.state() == HttpReader::State::reading) continue;
-    if (connection.reader.state() == HttpReader::State::bad)
-      return write(connection, {connection.reader.complaint(), R"({"error":"the request cannot be read"})"},
-                   false);
+  while (!in.empty() && connection.phase == Phase::reading && !connection.stream->is_closed()) {
+    if (!connection.reader.has_started()) connection.since = loop_.now();
+    in.consume(connection.reader.feed(in.front()));
+    if (connection.reader.state() == HttpParser::State::incomplete) continue;
+    if (connection.reader.state() == HttpParser::State::malformed)
+      return write(connection,
+                   {connection.reader.error_status(), R"({"error":"the request cannot be read"})"}, false);
     ask(connection);
   }
-  if (!connection.stream->closed()) connection.stream->read_on();
+  if (!connection.stream->is_closed()) connection.stream->resume_reading();
 }
 
 void JsonServer::ask(Connection& connection) {
   HttpMessage message = std::move(connection.reader.message());
-  connection.reader.restart();
-  connection.stays = message.stays();
+  connection.reader.reset();
+  connection.stays = message.keeps_alive();
   connection.phase = Connection::Phase::waiting;
   connection.since = loop_.now();
-  told_.asked(connection.number,
-              {std::move(message.first), std::move(message.second), std::move(message.body)});
+  callbacks_.on_request(connection.number, {std::move(message.method_or_version),
+                                            std::move(message.target_or_status), std::move(message.body)});
 }
 
-void JsonServer::answer(Caller caller, const JsonReply& reply) {
-  const auto at = callers_.find(caller);
-  if (at == callers_.end() || at->second->phase != Connection::Phase::waiting) return;
+void JsonServer::send_reply(ConnectionId caller, const JsonReply& reply) {
+  const auto at = connections_.find(caller);
+  if (at == connections_.end() || at->second->phase != Connection::Phase::waiting) return;
   write(*at->second, reply, at->second->stays);
 }
 
@@ -125,8 +125,8 @@
   connection.stays = stays;
   connection.since = loop_.now();
   const std::string text =
-      answer_text(reply.status, "application/json", reply.body + "\n", stays, Duration{});
-  if (!connection.stream->out().put(text)) return drop(connection);
+      format_response(reply.status, "application/json", reply.body + "\n", stays, Duration{});
+  if (!connection.stream->out().append(text)) return drop(connection);
   connection.stream->flush();
 }
 
@@ -139,11 +139,11 @@
   } else if (connection.phase == Phase::answering) {
     if (lasted > kWrite) drop(connection);
   } else if (connection.phase == Phase::waiting) {
-    if (lasted <= bounds_.deferred) return;
-    const Caller number = connection.number;
+    if (lasted <= limits_.reply_timeout) return;
+    const ConnectionId number = connection.number;
     write(connection, {503, R"({"error":"no answer in time"})"}, connection.stays);
-    if (told_.left) told_.left(number);
-  } else if (connection.reader.begun()) {
+    if (callbacks_.on_abandoned) callbacks_.on_abandoned(number);
+  } else if (connection.reader.has_started()) {
     if (lasted > kWhole) write(connection, {408, R"({"error":"the request did not end in time"})"}, false);
   } else if (lasted > kIdle) {
     drop(connection);
@@ -152,14 +152,14 @@
 
 // An owner that is told of one caller may answer others, whose connections may end with that.
 void JsonServer::sweep() {
-  std::vector<Caller> numbers;
-  numbers.reserve(callers_.size());
-  for (const auto& [number, connection] : callers_) numbers.push_back(number);
-  for (const Caller number : numbers) {
-    const auto at = callers_.find(number);
-    if (at != callers_.end()) check(*at->second);
+  std::vector<ConnectionId> numbers;
+  numbers.reserve(connections_.size());
+  for (const auto& [number, connection] : connections_) numbers.push_back(number);
+  for (const ConnectionId number : numbers) {
+    const auto at = connections_.find(number);
+    if (at != connections_.end()) check(*at->second);
   }
-  sweep_ = loop_.at(loop_.now() + kSweep, [this] { sweep(); });
+  sweep_ = loop_.call_at(loop_.now() + kSweep, [this] { sweep(); });
 }
 
 }  // namespace marbledyke::net
--- a/src/net/json_server.h
+++ b/src/net/json_server.h
@@ -28,27 +28,27 @@
 
 class JsonServer {
  public:
-  using Caller = std::uint64_t;  // a connection; no two of one server have the same number
-  struct Bounds {
-    std::size_t callers = 64;       // connections; more wait in the backlog
-    std::size_t body = 64 * 1024;   // bytes of a request's body
-    Duration deferred{10'000'000};  // an owner who has not answered after this: 503
+  using ConnectionId = std::uint64_t;  // a connection; no two of one server have the same number
+  struct Limits {
+    std::size_t max_connections = 64;        // connections; more wait in the backlog
+    std::size_t max_body_bytes = 64 * 1024;  // bytes of a request's body
+    Duration reply_timeout{10'000'000};      // an owner who has not answered after this: 503
   };
-  struct Told {
+  struct Callbacks {
     // Answered with answer(), within this call or later. The caller asks nothing else before that.
-    std::function<void(Caller, const JsonRequest&)> asked;
+    std::function<void(ConnectionId, const JsonRequest&)> on_request;
     // A caller that was asked for is gone, or was answered for its owner; answer() does nothing any more.
-    std::function<void(Caller)> left;
+    std::function<void(ConnectionId)> on_abandoned;
   };
 
   // Throws std::system_error where it cannot listen. A Unix socket that a former life left is replaced.
-  JsonServer(Loop& loop, const Address& address, const Bounds& bounds, Told told);
+  JsonServer(Loop& loop, const Address& address, const Limits& limits, Callbacks told);
   ~JsonServer();
   JsonServer(const JsonServer&) = delete;
   JsonServer& operator=(const JsonServer&) = delete;
 
-  void answer(Caller caller, const JsonReply& reply);
-  std::size_t callers() const { return callers_.size(); }
+  void send_reply(ConnectionId caller, const JsonReply& reply);
+  std::size_t connection_count() const { return connections_.size(); }
 
  private:
   struct Connection;
@@ -62,13 +62,13 @@
   void sweep();
 
   Loop& loop_;
-  Bounds bounds_;
-  Told told_;
+  Limits limits_;
+  Callbacks callbacks_;
   std::string path_;  // of a Unix socket's file
   std::unique_ptr<Listener> listener_;
-  std::map<Caller, std::unique_ptr<Connection>> callers_;
+  std::map<ConnectionId, std::unique_ptr<Connection>> connections_;
   std::vector<std::unique_ptr<Connection>> graves_;
-  Caller next_ = 1;
+  ConnectionId next_ = 1;
   Loop::Timer sweep_{};
 };
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -12,38 +12,38 @@
 constexpr int kAcceptsARound = 64;
 }  // namespace
 
-Listener::Listener(Loop& loop, const Address& address, Told told)
-    : loop_(loop), fd_(listen_on(address)), told_(std::move(told)) {
+Listener::Listener(Loop& loop, const Address& address, Callbacks told)
+    : loop_(loop), fd_(listen_on(address)), callbacks_(std::move(told)) {
   if (!fd_) throw std::system_error(errno, std::generic_category(), address.text());
   place_ = loop_.watch(fd_.get(), *this);
 }
 
-void Listener::ready(bool, bool) { accept(); }
+void Listener::on_ready(bool, bool) { accept(); }
 
 void Listener::accept() {
-  waits_ = true;
+  backlog_pending_ = true;
   for (int count = 0; fd_ && count < kAcceptsARound; ++count) {
-    if (!told_.room()) return;
-    Descriptor fd = accept_from(fd_.get());
+    if (!callbacks_.has_room()) return;
+    Descriptor fd = accept_connection(fd_.get());
     if (!fd) {
       if (errno == EINTR || errno == ECONNABORTED) continue;
       // Where there is neither a descriptor nor one to give up, it is tried again when one is.
-      waits_ = errno != EAGAIN && errno != EWOULDBLOCK;
+      backlog_pending_ = errno != EAGAIN && errno != EWOULDBLOCK;
       if (errno == EMFILE || errno == ENFILE) {
-        waits_ = anybody_waits(fd_.get());
-        if (waits_ && told_.make_room()) continue;
+        backlog_pending_ = has_pending_connection(fd_.get());
+        if (backlog_pending_ && callbacks_.free_descriptor()) continue;
       }
       return;
     }
-    told_.came(std::move(fd));
+    callbacks_.on_accepted(std::move(fd));
   }
-  again();  // a flood waits its turn like everything else
+  resume();  // a flood waits its turn like everything else
 }
 
-void Listener::again() {
-  if (!fd_ || !waits_ || due_) return;
-  due_ = loop_.at(loop_.now(), [this] {
-    due_.reset();
+void Listener::resume() {
+  if (!fd_ || !backlog_pending_ || accept_timer_) return;
+  accept_timer_ = loop_.call_at(loop_.now(), [this] {
+    accept_timer_.reset();
     accept();
   });
 }
@@ -56,9 +56,9 @@
 
 void Listener::shut() {
   if (!fd_) return;
-  if (due_) loop_.cancel(*due_);
-  due_.reset();
-  loop_.forget(fd_.get(), place_);
+  if (accept_timer_) loop_.cancel(*accept_timer_);
+  accept_timer_.reset();
+  loop_.unwatch(fd_.get(), place_);
   fd_.close();
 }
 
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -15,7 +15,7 @@
   if (!epoll_) throw std::system_error(errno, std::generic_category(), "epoll_create1");
 }
 
-void Loop::tell_long_turns(Duration limit, std::function<void(const Turn&)> told) {
+void Loop::report_long_turns(Duration limit, std::function<void(const Turn&)> told) {
   long_turn_ = limit;
   long_turn_told_ = std::move(told);
 }
@@ -32,7 +32,7 @@
 
 void Loop::read_clock() { now_ = clock_.steady() - start_; }
 
-std::uint32_t Loop::watch(int fd, Watcher& watcher) {
+std::uint32_t Loop::watch(int fd, EventHandler& handler) {
   std::uint32_t place = static_cast<std::uint32_t>(places_.size());
   if (free_.empty()) {
     places_.emplace_back();
@@ -40,25 +40,25 @@
     place = free_.back();
     free_.pop_back();
   }
-  places_[place].watcher = &watcher;
+  places_[place].watcher = &handler;
   epoll_event event{};
   event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
   event.data.u64 = std::uint64_t{places_[place].generation} << 32 | place;
   if (epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, fd, &event) != 0) {
-    forget(-1, place);
+    unwatch(-1, place);
     throw std::system_error(errno, std::generic_category(), "epoll_ctl");
   }
   return place;
 }
 
-void Loop::forget(int fd, std::uint32_t place) {
+void Loop::unwatch(int fd, std::uint32_t place) {
   if (fd >= 0) epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr);
   places_[place].watcher = nullptr;
   ++places_[place].generation;  // an event of this round that still names the place is for nobody
   free_.push_back(place);
 }
 
-Loop::Timer Loop::at(Duration when, std::function<void()> what) {
+Loop::Timer Loop::call_at(Duration when, std::function<void()> what) {
   const Timer timer{when, next_timer_++};
   timers_.emplace(timer, std::move(what));
   return timer;
@@ -76,16 +76,16 @@
     const Place& place = places_[event.data.u64 & 0xffffffff];
     if (place.watcher == nullptr || place.generation != event.data.u64 >> 32) continue;
     const bool broken = (event.events & (EPOLLERR | EPOLLHUP)) != 0;
-    place.watcher->ready(broken || (event.events & (EPOLLIN | EPOLLRDHUP)) != 0,
-                         broken || (event.events & EPOLLOUT) != 0);
+    place.watcher->on_ready(broken || (event.events & (EPOLLIN | EPOLLRDHUP)) != 0,
+                            broken || (event.events & EPOLLOUT) != 0);
     const Place& after = places_[event.data.u64 & 0xffffffff];  // the places may have moved
     if ((broken || (event.events & EPOLLRDHUP) != 0) && after.watcher != nullptr &&
         after.generation == event.data.u64 >> 32)
-      after.watcher->hung_up();
+      after.watcher->on_hang_up();
   }
 }
 
-void Loop::gather() {
+void Loop::run_once() {
   int patience = -1;
   read_clock();
   end_turn();
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -19,11 +19,11 @@
 
 namespace marbledyke::net {
 
-class Watcher {
+class EventHandler {
  public:
-  virtual ~Watcher() = default;
-  virtual void ready(bool readable, bool writable) = 0;
-  virtual void hung_up() {}  // after ready(): the peer has ended its side, whether or not that was read
+  virtual ~EventHandler() = default;
+  virtual void on_ready(bool readable, bool writable) = 0;
+  virtual void on_hang_up() {}  // after ready(): the peer has ended its side, whether or not that was read
 };
 
 class Loop {
@@ -39,29 +39,29 @@
   void read_clock();
 
   // A watch ends with forget(), which is safe while events of the same round are being told.
-  std::uint32_t watch(int fd, Watcher& watcher);
-  void forget(int fd, std::uint32_t place);
+  std::uint32_t watch(int fd, EventHandler& watcher);
+  void unwatch(int fd, std::uint32_t place);
 
-  Timer at(Duration when, std::function<void()> what);
+  Timer call_at(Duration when, std::function<void()> what);
   void cancel(const Timer& timer) { timers_.erase(timer); }
 
   // From when it was due, the time of a timer or the end of the wait, to the next wait.
   struct Turn {
-    Duration took{};
-    Duration processor{};  // what the process used of it; much less than `took`: others had the machine
+    Duration duration{};
+    Duration cpu_time{};  // what the process used of it; much less than `took`: others had the machine
   };
   // Whoever is given here is told at its end of each turn that took longer.
-  void tell_long_turns(Duration limit, std::function<void(const Turn&)> told);
+  void report_long_turns(Duration limit, std::function<void(const Turn&)> told);
   Duration take_longest_turn() {
     return std::exchange(longest_turn_, Duration::zero());
   }  // since the last time
 
   // Waits for what is ready, until the next timer at the latest, and tells it.
-  void gather();
+  void run_once();
 
  private:
   struct Place {
-    Watcher* watcher = nullptr;
+    EventHandler* watcher = nullptr;
     std::uint32_t generation = 0;
   };
 
--- a/src/net/signals.h
+++ b/src/net/signals.h
@@ -15,22 +15,22 @@
 
 namespace marbledyke::net {
 
-class Signals final : public Watcher {
+class Signals final : public EventHandler {
  public:
   // `told` is called once for each signal that came. Throws std::system_error.
   Signals(Loop& loop, const sigset_t& which, std::function<void()> told)
-      : fd_(signalfd(-1, &which, SFD_NONBLOCK | SFD_CLOEXEC)), told_(std::move(told)) {
+      : fd_(signalfd(-1, &which, SFD_NONBLOCK | SFD_CLOEXEC)), callbacks_(std::move(told)) {
     if (!fd_) throw std::system_error(errno, std::generic_category(), "signalfd");
     loop.watch(fd_.get(), *this);
   }
-  void ready(bool, bool) override {
+  void on_ready(bool, bool) override {
     signalfd_siginfo info{};
-    while (read(fd_.get(), &info, sizeof info) == sizeof info) told_();
+    while (read(fd_.get(), &info, sizeof info) == sizeof info) callbacks_();
   }
 
  private:
   Descriptor fd_;
-  std::function<void()> told_;
+  std::function<void()> callbacks_;
 };
 
 }  // namespace marbledyke::net
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -25,7 +25,7 @@
 
 Descriptor listen_on(const Address& address) {
   sockaddr_storage own;
-  const socklen_t size = address.put(own);
+  const socklen_t size = address.to_sockaddr(own);
   Descriptor fd = open_for(own);
   if (!fd) return fd;
   const int on = 1;
@@ -38,7 +38,7 @@
 
 Descriptor start_connect(const Address& to) {
   sockaddr_storage peer;
-  const socklen_t size = to.put(peer);
+  const socklen_t size = to.to_sockaddr(peer);
   Descriptor fd = open_for(peer);
   if (!fd) return fd;
   if (to.family() != Family::local) send_at_once(fd.get());
@@ -50,38 +50,38 @@
   return fd;
 }
 
-Descriptor accept_from(int listener) {
+Descriptor accept_connection(int listener) {
   Descriptor fd(accept4(listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   if (fd) send_at_once(fd.get());
   return fd;
 }
 
-bool anybody_waits(int listener) {
+bool has_pending_connection(int listener) {
   pollfd waits{listener, POLLIN, 0};
   return poll(&waits, 1, 0) > 0;
 }
 
 Stream::Stream(Loop& loop, Descriptor fd, bool connected, std::size_t most_in, std::size_t most_out,
-               Told told)
+               Callbacks told)
     : loop_(loop),
       fd_(std::move(fd)),
       place_(loop.watch(fd_.get(), *this)),
       connected_(connected),
       in_(most_in),
       out_(most_out),
-      told_(std::move(told)) {}
+      callbacks_(std::move(told)) {}
 
 Stream::~Stream() { close(); }
 
 void Stream::close() {
   if (!fd_) return;
-  loop_.forget(fd_.get(), place_);
+  loop_.unwatch(fd_.get(), place_);
   fd_.close();
   in_.clear();
   out_.clear();
 }
 
-void Stream::finish() {
+void Stream::shutdown_write() {
   if (fd_) shutdown(fd_.get(), SHUT_WR);
 }
 
@@ -89,10 +89,10 @@
   const bool was = connected_;
   reset_ = reset;
   close();
-  if (told_.ended) told_.ended(was);
+  if (callbacks_.on_ended) callbacks_.on_ended(was);
 }
 
-void Stream::ready(bool readable, bool writable) {
+void Stream::on_ready(bool readable, bool writable) {
   if (!connected_) {
     if (!writable && !readable) return;
     int wrong = 0;
@@ -103,24 +103,24 @@
     // Not yet connected is told as ENOTCONN without an error pending.
     if (getpeername(fd_.get(), reinterpret_cast<sockaddr*>(&peer), &peer_size) != 0) return;
     connected_ = true;
-    if (told_.opened) told_.opened();
-    if (closed()) return;
+    if (callbacks_.on_connected) callbacks_.on_connected();
+    if (is_closed()) return;
   }
   if (writable && !out_.empty()) flush();
-  if (readable && !closed()) {
+  if (readable && !is_closed()) {
     left_unread_ = true;
-    read_on();
+    resume_reading();
   }
 }
 
-void Stream::read_on() {
-  while (left_unread_ && !closed()) {
+void Stream::resume_reading() {
+  while (left_unread_ && !is_closed()) {
     if (in_.full()) return;  // the owner reads on once it has taken something
-    const std::span<char> gap = in_.gap();
+    const std::span<char> gap = in_.prepare();
     const ssize_t got = recv(fd_.get(), gap.data(), gap.size(), 0);
     if (got > 0) {
-      in_.filled(static_cast<std::size_t>(got));
-      if (told_.arrived) told_.arrived();
+      in_.commit(static_cast<std::size_t>(got));
+      if (callbacks_.on_data) callbacks_.on_data();
     } else if (got == 0) {
       return end(false);
     } else if (errno == EAGAIN || errno == EWOULDBLOCK) {
@@ -131,27 +131,27 @@
   }
 }
 
-void Stream::read_now() {
+void Stream::read_available() {
   left_unread_ = connected_;
-  read_on();
+  resume_reading();
 }
 
 // With the ring full the end is behind bytes that nobody reads before the owner has done with those before
 // them, which may take as long as an answer: the peer has gone all the same.
-void Stream::hung_up() {
-  if (connected_ && in_.full() && !closed()) end(true);
+void Stream::on_hang_up() {
+  if (connected_ && in_.full() && !is_closed()) end(true);
 }
 
 void Stream::flush() {
   // Whoever is told that all is out may put in more: that is written by this same loop, not by a deeper one.
   if (!connected_ || flushing_) return;
   flushing_ = true;
-  while (!closed() && !out_.empty()) {
+  while (!is_closed() && !out_.empty()) {
     const std::string_view front = out_.front();
     const ssize_t sent = send(fd_.get(), front.data(), front.size(), MSG_NOSIGNAL);
     if (sent > 0) {
-      out_.drop(static_cast<std::size_t>(sent));
-      if (out_.empty() && told_.drained) told_.drained();
+      out_.consume(static_cast<std::size_t>(sent));
+      if (out_.empty() && callbacks_.on_drained) callbacks_.on_drained();
     } else if (errno == EAGAIN || errno == EWOULDBLOCK) {
       break;
     } else if (errno != EINTR) {
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -7,7 +7,7 @@
 #include "net/address.h"
 #include "net/descriptor.h"
 #include "net/loop.h"
-#include "net/ring.h"
+#include "net/ring_buffer.h"
 
 namespace marbledyke::net {
 
@@ -15,39 +15,40 @@
 // is full ends a connect with EAGAIN: it is not under way.
 Descriptor listen_on(const Address& address);
 Descriptor start_connect(const Address& to);
-Descriptor accept_from(int listener);
+Descriptor accept_connection(int listener);
 // With no descriptor left, accepting fails before it looks whether there is anybody to accept.
-bool anybody_waits(int listener);
+bool has_pending_connection(int listener);
 
-class Stream final : public Watcher {
+class Stream final : public EventHandler {
  public:
   // What its owner is told; the owner may close the stream, but not destroy it, while it is being told.
-  struct Told {
-    std::function<void()> opened;               // a connect came through
-    std::function<void()> arrived;              // there are new bytes in in()
-    std::function<void()> drained;              // all of out() is written
-    std::function<void(bool connected)> ended;  // the peer closed, or the connection failed
+  struct Callbacks {
+    std::function<void()> on_connected;            // a connect came through
+    std::function<void()> on_data;                 // there are new bytes in in()
+    std::function<void()> on_drained;              // all of out() is written
+    std::function<void(bool connected)> on_ended;  // the peer closed, or the connection failed
   };
 
-  Stream(Loop& loop, Descriptor fd, bool connected, std::size_t most_in, std::size_t most_out, Told told);
+  Stream(Loop& loop, Descriptor fd, bool connected, std::size_t most_in, std::size_t most_out,
+         Callbacks told);
   ~Stream() override;
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
-  Ring& in() { return in_; }
-  Ring& out() { return out_; }
-  bool connected() const { return connected_; }
-  bool closed() const { return !fd_; }
+  RingBuffer& in() { return in_; }
+  RingBuffer& out() { return out_; }
+  bool is_connected() const { return connected_; }
+  bool is_closed() const { return !fd_; }
   bool was_reset() const { return reset_; }  // it ended otherwise than by the peer's orderly close
 
-  void flush();     // writes what the socket takes; tells drained once all is out
-  void read_on();   // reads after the owner had left the ring full
-  void read_now();  // reads what has come, whether or not the loop has told of it yet
-  void close();     // at once, without being told
-  void finish();    // no more from this side; what the peer still sends is dropped
+  void flush();           // writes what the socket takes; tells drained once all is out
+  void resume_reading();  // reads after the owner had left the ring full
+  void read_available();  // reads what has come, whether or not the loop has told of it yet
+  void close();           // at once, without being told
+  void shutdown_write();  // no more from this side; what the peer still sends is dropped
 
-  void ready(bool readable, bool writable) override;
-  void hung_up() override;
+  void on_ready(bool readable, bool writable) override;
+  void on_hang_up() override;
 
  private:
   void end(bool reset);
@@ -59,8 +60,8 @@
   bool flushing_ = false;
   bool reset_ = false;
   bool left_unread_ = false;  // an edge came while the ring was full
-  Ring in_, out_;
-  Told told_;
+  RingBuffer in_, out_;
+  Callbacks callbacks_;
 };
 
 }  // namespace marbledyke::net
--- a/src/operator_file/helper.cpp
+++ b/src/operator_file/helper.cpp
@@ -131,14 +131,14 @@
   from_ = std::move(started.from);
   if (!started.wrong.empty()) {
     // Told in the next turn, as everything else is.
-    limit_ = loop_.at(loop_.now(), [this, wrong = started.wrong] {
+    limit_ = loop_.call_at(loop_.now(), [this, wrong = started.wrong] {
       limit_.reset();
       finish(wrong);
     });
     return;
   }
   place_ = loop_.watch(from_.get(), *this);
-  limit_ = loop_.at(loop_.now() + kPatience, [this] {
+  limit_ = loop_.call_at(loop_.now() + kPatience, [this] {
     limit_.reset();
     finish("it took too long");
   });
@@ -147,12 +147,12 @@
 Reading::~Reading() {
   if (limit_) loop_.cancel(*limit_);
   if (child_ >= 0) {
-    loop_.forget(from_.get(), place_);
+    loop_.unwatch(from_.get(), place_);
     reap(child_);
   }
 }
 
-void Reading::ready(bool, bool) {
+void Reading::on_ready(bool, bool) {
   char bytes[16 * 1024];
   for (;;) {
     const ssize_t got = read(from_.get(), bytes, sizeof bytes);
@@ -174,7 +174,7 @@
   if (limit_) loop_.cancel(*limit_);
   limit_.reset();
   if (child_ >= 0) {
-    loop_.forget(from_.get(), place_);
+    loop_.unwatch(from_.get(), place_);
     reap(child_);
     child_ = -1;
   }
--- a/src/operator_file/helper.h
+++ b/src/operator_file/helper.h
@@ -18,7 +18,7 @@
 Result read_now(const std::string& path);
 
 // The same while the loop goes on; one at a time.
-class Reading final : public net::Watcher {
+class Reading final : public net::EventHandler {
  public:
   using Done = std::function<void(Result)>;
   Reading(net::Loop& loop, const std::string& path, Done done);
@@ -26,7 +26,7 @@
   Reading(const Reading&) = delete;
   Reading& operator=(const Reading&) = delete;
 
-  void ready(bool readable, bool writable) override;
+  void on_ready(bool readable, bool writable) override;
 
  private:
   void finish(std::optional<std::string> wrong);
--- a/src/operator_file/terms.cpp
+++ b/src/operator_file/terms.cpp
@@ -14,7 +14,7 @@
 
 Duration span(const json& from, const char* key) { return Duration(config::whole(from, key)); }
 
-json put_rules(const addresses::Rules& rules, bool attempt_stated) {
+json put_rules(const addresses::ConnectSettings& rules, bool attempt_stated) {
   json prefer = json::array();
   for (const net::Family family : rules.prefer) prefer.push_back(std::string(name_of(family)));
   json out = {{"prefer", prefer},
@@ -31,10 +31,10 @@
 }
 
 void read_rules(const json& from, Terms& into) {
-  addresses::Rules& rules = into.connecting;
+  addresses::ConnectSettings& rules = into.connecting;
   rules.prefer.clear();
   for (const json& one : config::array(from, "prefer")) {
-    const auto family = one.is_string() ? net::family_named(one.get_ref<const std::string&>()) : std::nullopt;
+    const auto family = one.is_string() ? net::parse_family(one.get_ref<const std::string&>()) : std::nullopt;
     if (!family) throw BadInput("prefer: unknown family");
     rules.prefer.push_back(*family);
   }
@@ -47,7 +47,7 @@
   rules.trials_at_once = static_cast<int>(config::whole(from, "trials-at-once"));
   const auto proof = std::find(kProofs.begin(), kProofs.end(), config::text(from, "prove"));
   if (proof == kProofs.end()) throw BadInput("prove: unknown");
-  rules.prove = static_cast<addresses::Prove>(proof - kProofs.begin());
+  rules.prove = static_cast<addresses::ProofPolicy>(proof - kProofs.begin());
   into.attempt_stated = from.contains("attempt");
   if (into.attempt_stated) rules.attempt = span(from, "attempt");
 }
@@ -185,7 +185,7 @@
     for (const auto& [name, server] : terms.servers) {
       json addresses = json::array();
       for (const net::Address& address : server.addresses) addresses.push_back(address.text());
-      servers.push_back({{"name", name}, {"instead", server.instead}, {"addresses", addresses}});
+      servers.push_back({{"name", name}, {"instead", server.replaces_listed}, {"addresses", addresses}});
     }
     out["terms"] = {{"log", log},
                     {"connecting", put_rules(terms.connecting, terms.attempt_stated)},
@@ -218,8 +218,8 @@
   read_rules(config::object(terms, "connecting"), into);
   if (terms.contains("search")) read_search(config::object(terms, "search"), into.search);
   for (const json& one : config::array(terms, "servers")) {
-    addresses::Book::Configured& server = into.servers[config::text(one, "name")];
-    server.instead = config::need(one, "instead").get<bool>();
+    addresses::AddressBook::ServerOverride& server = into.servers[config::text(one, "name")];
+    server.replaces_listed = config::need(one, "instead").get<bool>();
     for (const json& address : config::array(one, "addresses")) {
       const auto read = net::parse_address(address.get_ref<const std::string&>());
       if (!read) throw BadInput("addresses: not an address");
