--- a/src/operator_file/terms.h
+++ b/src/operator_file/terms.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "addresses/book.h"
+#include "addresses/address_book.h"
 #include "config/fault.h"
 #include "config/fields.h"
 #include "log/log.h"
@@ -23,9 +23,9 @@
 struct Terms {
   std::optional<log::Form> log_form;
   std::optional<log::Level> log_level;
-  addresses::Rules connecting;
+  addresses::ConnectSettings connecting;
   bool attempt_stated = false;  // else it is the connect time-out of the platform's terms
-  std::map<std::string, addresses::Book::Configured, std::less<>> servers;
+  std::map<std::string, addresses::AddressBook::ServerOverride, std::less<>> servers;
   search::Terms search;
 };
 
--- a/src/operator_file/xml.cpp
+++ b/src/operator_file/xml.cpp
@@ -19,12 +19,12 @@
 }
 
 void connecting(xml::Reader& reader, const Element& at, Terms& into) {
-  addresses::Rules& rules = into.connecting;
+  addresses::ConnectSettings& rules = into.connecting;
   if (const auto prefer = at.attribute("prefer")) {
     rules.prefer.clear();
     for (std::size_t from = 0; from < prefer->size();) {
       const std::size_t to = std::min(prefer->find_first_of(" \t\r\n", from), prefer->size());
-      if (const auto family = net::family_named(prefer->substr(from, to - from))) {
+      if (const auto family = net::parse_family(prefer->substr(from, to - from))) {
         if (std::find(rules.prefer.begin(), rules.prefer.end(), *family) != rules.prefer.end())
           reader.fault(at, "prefer: names " + std::string(name_of(*family)) + " twice");
         rules.prefer.push_back(*family);
@@ -43,9 +43,9 @@
   reader.whole(at, "at-once", 1, 64, rules.at_once);
   reader.whole(at, "trials-at-once", 1, 64, rules.trials_at_once);
   if (const auto prove = at.attribute("prove"))
-    rules.prove = *prove == "never"    ? addresses::Prove::never
-                  : *prove == "always" ? addresses::Prove::always
-                                       : addresses::Prove::in_doubt;
+    rules.prove = *prove == "never"    ? addresses::ProofPolicy::never
+                  : *prove == "always" ? addresses::ProofPolicy::always
+                                       : addresses::ProofPolicy::in_doubt;
   if (rules.stagger_least > rules.stagger) reader.fault(at, "stagger-least is longer than stagger");
   if (rules.hold > rules.hold_most) reader.fault(at, "hold is longer than hold-most");
   if (into.attempt_stated && rules.attempt > rules.race)
@@ -65,9 +65,9 @@
     // A server that only speaks another protocol is found by the list.
     if (one.children().empty() && !one.attribute("speaks"))
       reader.fault(one, "no address, and no other word of it");
-    addresses::Book::Configured& server = into.servers[name];
-    reader.flag(one, "instead", server.instead);
-    if (server.instead && one.children().empty())
+    addresses::AddressBook::ServerOverride& server = into.servers[name];
+    reader.flag(one, "instead", server.replaces_listed);
+    if (server.replaces_listed && one.children().empty())
       reader.fault(one, "instead: of nothing; it has no address here");
     for (const Element& each : one.children()) {
       const std::string text = each.text();
--- a/src/rig/flawed.cpp
+++ b/src/rig/flawed.cpp
@@ -146,8 +146,8 @@
       loop.read_clock();
       const auto held = prepare(loop);
       for (;;) {
-        loop.at(loop.now() + 50ms, [] {});
-        loop.gather();
+        loop.call_at(loop.now() + 50ms, [] {});
+        loop.run_once();
       }
     }).detach();
   }
--- a/src/rig/process.cpp
+++ b/src/rig/process.cpp
@@ -45,8 +45,8 @@
   loop.read_clock();
   const Duration until = loop.now() + time;
   while (loop.now() < until) {
-    loop.at(until, [] {});
-    loop.gather();
+    loop.call_at(until, [] {});
+    loop.run_once();
   }
 }
 
@@ -71,20 +71,20 @@
   bool over = false;
   std::unique_ptr<net::Stream> stream;
   stream = std::make_unique<net::Stream>(loop, std::move(fd), false, 64 * 1024, bytes.size() + 1,
-                                         net::Stream::Told{[&] {
-                                                             stream->out().put(bytes);
-                                                             stream->flush();
-                                                           },
-                                                           [&] {
-                                                             net::Ring& in = stream->in();
-                                                             while (!in.empty()) {
-                                                               const std::string_view front = in.front();
-                                                               out += front;
-                                                               in.drop(front.size());
-                                                             }
-                                                             over = over || whole(out);
-                                                           },
-                                                           nullptr, [&](bool) { over = true; }});
+                                         net::Stream::Callbacks{[&] {
+                                                                  stream->out().append(bytes);
+                                                                  stream->flush();
+                                                                },
+                                                                [&] {
+                                                                  net::RingBuffer& in = stream->in();
+                                                                  while (!in.empty()) {
+                                                                    const std::string_view front = in.front();
+                                                                    out += front;
+                                                                    in.consume(front.size());
+                                                                  }
+                                                                  over = over || whole(out);
+                                                                },
+                                                                nullptr, [&](bool) { over = true; }});
   run_until(loop, limit, [&] { return over; });
   stream->close();
   return out;
@@ -98,22 +98,22 @@
 
 Answer call(net::Loop& loop, const net::Address& to, const std::string& method, const std::string& target,
             const std::string& body, Duration limit) {
-  const auto reader = [] { return net::HttpReader(net::HttpReader::Kind::answer, 64 * 1024 * 1024); };
+  const auto reader = [] { return net::HttpParser(net::HttpParser::Kind::response, 64 * 1024 * 1024); };
   const auto done = [&](std::string_view text) {
-    net::HttpReader one = reader();
-    one.take(text);
-    return one.state() != net::HttpReader::State::reading;
+    net::HttpParser one = reader();
+    one.feed(text);
+    return one.state() != net::HttpParser::State::incomplete;
   };
   const std::string text =
       exchange(loop, to,
                method + " " + target + " HTTP/1.1\r\nHost: rig\r\nConnection: close\r\nContent-Length: " +
                    std::to_string(body.size()) + "\r\n\r\n" + body,
                limit, done);
-  net::HttpReader one = reader();
-  one.take(text);
+  net::HttpParser one = reader();
+  one.feed(text);
   Answer out;
-  if (one.state() != net::HttpReader::State::done) return out;
-  out.status = std::atoi(one.message().second.c_str());
+  if (one.state() != net::HttpParser::State::complete) return out;
+  out.status = std::atoi(one.message().target_or_status.c_str());
   out.body = nlohmann::json::parse(one.message().body, nullptr, false);
   return out;
 }
--- a/src/rig/relay.cpp
+++ b/src/rig/relay.cpp
@@ -22,7 +22,7 @@
 }
 
 void reset(net::Stream& stream, int fd) {
-  if (stream.closed()) return;
+  if (stream.is_closed()) return;
   const linger now{1, 0};
   setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
   stream.close();
@@ -68,8 +68,8 @@
   if (listener_) return;
   listener_ = std::make_unique<net::Listener>(
       loop_, listen_,
-      net::Listener::Told{[] { return true; }, [] { return false; },
-                          [this](net::Descriptor fd) { came(std::move(fd)); }});
+      net::Listener::Callbacks{[] { return true; }, [] { return false; },
+                               [this](net::Descriptor fd) { came(std::move(fd)); }});
 }
 
 void Relay::came(net::Descriptor fd) {
@@ -91,27 +91,27 @@
   const auto stream = [&](net::Descriptor of, bool connected, bool there) {
     return std::make_unique<net::Stream>(
         loop_, std::move(of), connected, kRing, kRing,
-        net::Stream::Told{[this, pair, there] { deliver(*pair, !there); },
-                          [this, pair, there] { arrived(*pair, there); },
-                          [this, pair, there] { deliver(*pair, !there); },
-                          [this, pair, there](bool) { ended(*pair, there); }});
+        net::Stream::Callbacks{[this, pair, there] { deliver(*pair, !there); },
+                               [this, pair, there] { arrived(*pair, there); },
+                               [this, pair, there] { deliver(*pair, !there); },
+                               [this, pair, there](bool) { ended(*pair, there); }});
   };
   pair->there.stream = stream(std::move(fd), true, true);
   pair->back.stream = stream(std::move(out), false, false);
   // Whoever connects here is connected at once, the other side perhaps seconds later: what was given
   // meanwhile would come in long after its sender had given it up.
-  pair->connecting = loop_.at(loop_.now() + kConnect, [this, pair] {
+  pair->connecting = loop_.call_at(loop_.now() + kConnect, [this, pair] {
     pair->connecting.reset();
-    if (!pair->back.stream->connected()) drop(*pair, true);
+    if (!pair->back.stream->is_connected()) drop(*pair, true);
   });
 }
 
 void Relay::arrived(Pair& pair, bool there) {
   Side& side = pair.side(there);
   const Way& way = there ? there_ : back_;
-  while (!side.stream->closed() && !side.stream->in().empty() && side.held_bytes < kMostHeld) {
+  while (!side.stream->is_closed() && !side.stream->in().empty() && side.held_bytes < kMostHeld) {
     const std::string bytes(side.stream->in().front());
-    side.stream->in().drop(bytes.size());
+    side.stream->in().consume(bytes.size());
     (there ? tally_.bytes_there : tally_.bytes_back) += bytes.size();
     if (way.lost) {
       tally_.lost += bytes.size();
@@ -127,7 +127,7 @@
   Side& from = pair.side(there);
   net::Stream& to = *pair.side(!there).stream;
   const Way& way = there ? there_ : back_;
-  if (to.closed() || !to.connected()) return;
+  if (to.is_closed() || !to.is_connected()) return;
   while (!from.held.empty() && !way.held && from.held.front().first <= loop_.now()) {
     std::string& bytes = from.held.front().second;
     std::size_t count = std::min(bytes.size(), kRing - to.out().size());
@@ -139,7 +139,7 @@
       count = std::min<std::size_t>(
           count, static_cast<std::size_t>(std::max<std::int64_t>(way.reset_after - from.passed, 0)));
     if (count > 0) {
-      to.out().put(std::string_view(bytes).substr(0, count));
+      to.out().append(std::string_view(bytes).substr(0, count));
       from.passed += static_cast<std::int64_t>(count);
       from.held_bytes -= count;
       bytes.erase(0, count);
@@ -147,7 +147,7 @@
       // Before the flush, which may come back here.
       if (way.trickle > 0) wait(pair, there, loop_.now() + steps_of(way.trickle).second);
       to.flush();
-      if (to.closed()) return;
+      if (to.is_closed()) return;
     }
     if (way.reset_after >= 0 && from.passed >= way.reset_after) return drop(pair, true);
     if (count == 0) return;  // goes on once the other side has taken some
@@ -160,7 +160,7 @@
 }
 
 void Relay::wait(Pair& pair, bool there, Duration until) {
-  pair.side(there).due = loop_.at(until, [this, number = pair.number, there] {
+  pair.side(there).due = loop_.call_at(until, [this, number = pair.number, there] {
     const auto at = pairs_.find(number);
     if (at == pairs_.end()) return;
     at->second->side(there).due.reset();
@@ -175,7 +175,7 @@
   const Way& way = there ? there_ : back_;
   if (way.lost) return;  // nobody is told
   net::Stream& other = *pair.side(!there).stream;
-  if (!other.connected() || (side.held.empty() && other.out().empty())) return drop(pair, false);
+  if (!other.is_connected() || (side.held.empty() && other.out().empty())) return drop(pair, false);
   deliver(pair, there);
 }
 
@@ -196,7 +196,7 @@
   tally_.resets += with_reset ? 1 : 0;
   graves_.push_back(std::move(at->second));
   pairs_.erase(at);
-  if (graves_.size() == 1) loop_.at(loop_.now(), [this] { graves_.clear(); });
+  if (graves_.size() == 1) loop_.call_at(loop_.now(), [this] { graves_.clear(); });
 }
 
 void Relay::cut() {
--- a/src/search/desk_front.cpp
+++ b/src/search/desk_front.cpp
@@ -70,7 +70,7 @@
   if (wake_) loop_.cancel(*wake_);
   wake_.reset();
   if (const auto at = desk_.next_wake())
-    wake_ = loop_.at(std::max(*at, loop_.now() + Duration(1'000)), [this] {
+    wake_ = loop_.call_at(std::max(*at, loop_.now() + Duration(1'000)), [this] {
       wake_.reset();
       pump();
     });
--- a/src/servers/frames.cpp
+++ b/src/servers/frames.cpp
@@ -41,27 +41,28 @@
 
 }  // namespace
 
-std::size_t FrameReader::take(std::string_view bytes) {
+std::size_t FrameParser::feed(std::string_view bytes) {
   std::size_t used = 0;
-  while (state_ == State::reading && used < bytes.size()) {
+  while (state_ == State::incomplete && used < bytes.size()) {
     if (head_ < 4) {
       length_ = length_ << 8 | static_cast<unsigned char>(bytes[used++]);
-      if (++head_ == 4 && (length_ == 0 || length_ > kMostFrame)) state_ = State::bad;
+      if (++head_ == 4 && (length_ == 0 || length_ > kMaxFrameBytes)) state_ = State::malformed;
     } else if (head_ == 4) {
-      frame_.letter = bytes[used++];
+      frame_.type = bytes[used++];
       ++head_;
-      if (std::string_view("12345X").find(frame_.letter) == std::string_view::npos) state_ = State::bad;
+      if (std::string_view("12345X").find(frame_.type) == std::string_view::npos) state_ = State::malformed;
     } else {
-      const std::size_t count = std::min(length_ - 1 - frame_.rest.size(), bytes.size() - used);
-      frame_.rest.append(bytes, used, count);
+      const std::size_t count = std::min(length_ - 1 - frame_.payload.size(), bytes.size() - used);
+      frame_.payload.append(bytes, used, count);
       used += count;
     }
-    if (state_ == State::reading && head_ == 5 && frame_.rest.size() == length_ - 1) state_ = State::done;
+    if (state_ == State::incomplete && head_ == 5 && frame_.payload.size() == length_ - 1)
+      state_ = State::complete;
   }
   return used;
 }
 
-LoadReport read_report(std::string_view text, const std::vector<std::string>& fields) {
+LoadReport parse_load_report(std::string_view text, const std::vector<std::string>& fields) {
   LoadReport out;
   if (fields.empty() || fields.size() > out.value.size()) return {};
   std::array<bool, 4> seen{};
@@ -80,28 +81,29 @@
   return out;
 }
 
-std::optional<PartAnswer> read_answer(const Frame& frame, const std::vector<std::string>& report_fields) {
-  const std::size_t end = frame.rest.find('\n');
+std::optional<PartAnswer> parse_part_answer(const Frame& frame,
+                                            const std::vector<std::string>& report_fields) {
+  const std::size_t end = frame.payload.find('\n');
   if (end == std::string::npos) return std::nullopt;
-  std::string_view line = std::string_view(frame.rest).substr(0, end);
+  std::string_view line = std::string_view(frame.payload).substr(0, end);
   PartAnswer out;
   out.id = cut(line, ' ');
   const std::string_view ending = cut(line, ' ');
   if (out.id.empty() || (ending != "S" && ending != "E" && ending != "B")) return std::nullopt;
-  out.end = ending.front();
+  out.outcome = ending.front();
   const std::string_view score = cut(line, ' ');
   const auto read = number(score);
-  if (!read && out.end == 'S') return std::nullopt;
+  if (!read && out.outcome == 'S') return std::nullopt;
   out.score = read.value_or(0);
-  out.report = read_report(line, report_fields);  // one that makes no sense is none, and spoils nothing
-  out.value = frame.rest.substr(end + 1);
+  out.report = parse_load_report(line, report_fields);  // one that makes no sense is none, and spoils nothing
+  out.value = frame.payload.substr(end + 1);
   return out;
 }
 
-std::size_t begin_frame(std::string& out, char letter) {
+std::size_t begin_frame(std::string& out, char type) {
   const std::size_t place = out.size();
   out.append(4, '\0');
-  out += letter;
+  out += type;
   return place;
 }
 
@@ -110,8 +112,8 @@
   for (std::size_t i = 0; i < 4; ++i) out[place + i] = static_cast<char>(length >> (24 - 8 * i) & 0xff);
 }
 
-void put_part(std::string& out, std::string_view id, int shard, std::string_view list,
-              std::string_view text) {
+void append_part(std::string& out, std::string_view id, int shard, std::string_view list,
+                 std::string_view text) {
   out.append(id).append(" ").append(std::to_string(shard)).append(" ").append(list).append(" ");
   out.append(std::to_string(text.size())).append("\n").append(text);
 }
--- a/src/servers/servers.cpp
+++ b/src/servers/shard_server_pool.cpp
@@ -1,4 +1,4 @@
-#include "servers/servers.h"
+#include "servers/shard_server_pool.h"
 
 #include <algorithm>
 #include <array>
@@ -13,29 +13,29 @@
 
 // A connection that races to become a link's. Nothing but a probe is ever written to it before it has won, so
 // that no part can be at a server that lost.
-struct Servers::Runner {
+struct ShardServerPool::Runner {
   int number = 0;
   net::Address to;
   bool prove = false;
   std::unique_ptr<net::Stream> stream;
-  FrameReader reader;
+  FrameParser reader;
 };
 
 // A connection that only tells whether an address in doubt is sound again.
-struct Servers::Trial {
+struct ShardServerPool::Trial {
   addresses::Trial what;
   Duration started{};
   std::unique_ptr<net::Stream> stream;
-  FrameReader reader;
+  FrameParser reader;
   net::Loop::Timer expiry;
 };
 
 // One connection to a shard server, or the race for it.
-struct Servers::Link {
+struct ShardServerPool::Link {
   enum class Stage { queued, writing, written };
 
   struct Out {
-    Errand errand;
+    SendRequest request;
     Stage stage = Stage::queued;
     Duration given_at{};  // its frame was begun, and then: it was written
     bool over = false;    // ended while its frame was being written, so that a frame 2 must follow
@@ -44,13 +44,13 @@
 
   // What is to be written: a call names the parts that are in it.
   struct Pending {
-    char letter = 0;
+    char type = 0;
     std::vector<std::string> ids;
   };
 
   std::uint64_t number = 0;
   std::string server;
-  std::optional<addresses::Book::RaceId> race;
+  std::optional<addresses::AddressBook::RaceId> race;
   std::vector<Runner> runners;
   std::optional<net::Loop::Timer> race_wake;
   int winner = -1;
@@ -59,7 +59,7 @@
   bool current = true;                  // its server still has the address
   bool answered = false;                // something was heard, the proof apart
   bool ended = false;
-  FrameReader reader;
+  FrameParser reader;
   bool reading_on = false;          // a frame has begun and its rest is being waited for
   std::map<std::string, Out> outs;  // by wire id
   std::deque<Pending> pending;
@@ -72,53 +72,54 @@
   std::optional<net::Loop::Timer> probe_expiry, idle_expiry;
 };
 
-Servers::Servers(net::Loop& loop, const config::Carriage& carriage, std::uint32_t seed,
-                 std::function<bool()> make_room)
+ShardServerPool::ShardServerPool(net::Loop& loop, const config::Carriage& carriage, std::uint32_t seed,
+                                 std::function<bool()> make_room)
     : loop_(loop), carriage_(carriage), make_room_(std::move(make_room)), book_({}, seed) {
-  addresses::Rules rules;
+  addresses::ConnectSettings rules;
   rules.attempt = carriage.connect_timeout;
   book_.configure(rules, {});
 }
 
-Servers::~Servers() = default;
+ShardServerPool::~ShardServerPool() = default;
 
-void Servers::configure(const addresses::Rules& rules,
-                        std::map<std::string, addresses::Book::Configured, std::less<>> configured) {
+void ShardServerPool::configure(
+    const addresses::ConnectSettings& rules,
+    std::map<std::string, addresses::AddressBook::ServerOverride, std::less<>> configured) {
   book_.configure(rules, std::move(configured));
   relist();
 }
 
-void Servers::listed(const list::News& news) {
+void ShardServerPool::apply_list_update(const list::ListUpdate& news) {
   // Nothing is kept of a server that the list no longer has, but for what is out on its connections: under
   // new ids all day, servers would otherwise fill the memory.
-  if (news.whole)
+  if (news.is_snapshot)
     std::erase_if(rows_, [&](const auto& one) {
-      return !news.unreadable.contains(one.first) || last_row(one.first) == nullptr;
+      return !news.unreadable_servers.contains(one.first) || last_row(one.first) == nullptr;
     });
-  book_.news_opens(news.whole);
-  if (news.whole) {
-    for (const auto& [name, row] : rows_) book_.stays(name);
+  book_.begin_update(news.is_snapshot);
+  if (news.is_snapshot) {
+    for (const auto& [name, row] : rows_) book_.keep_server(name);
   }
-  for (const list::Entry& entry : news.entries) {
+  for (const list::ServerEntry& entry : news.entries) {
     if (entry.row.standing == Standing::gone) {
       rows_.erase(entry.row.server);
-      book_.gone(entry.row.server);
+      book_.remove_server(entry.row.server);
     } else {
       rows_[entry.row.server] = entry.row;
-      book_.listed(entry.row.server, entry.row.standing == Standing::up, entry.addresses);
+      book_.update_server(entry.row.server, entry.row.standing == Standing::up, entry.addresses);
     }
   }
-  book_.news_closes();
+  book_.finish_update();
   relist();
 }
 
 // What the news means for the connections that are open or being opened. What waits for one to a server that
 // drains or is gone would not be written when it comes up (pump); it does not wait for that, but ends as
 // never sent, to go to another while there is time.
-void Servers::relist() {
+void ShardServerPool::relist() {
   std::vector<Link*> unwanted, too_late;
   for (const auto& [number, link] : links_) {
-    link->current = link->race ? rows_.contains(link->server) : book_.usable(link->server, link->address);
+    link->current = link->race ? rows_.contains(link->server) : book_.is_usable(link->server, link->address);
     if (!wanted(*link)) (link->race ? too_late : unwanted).push_back(link.get());
   }
   for (Link* link : unwanted) rest(*link);
@@ -129,13 +130,14 @@
   plan_trials();
 }
 
-const ListRow* Servers::last_row(std::string_view server) const {
+const ListRow* ShardServerPool::last_row(std::string_view server) const {
   const auto at = rows_.find(server);
   if (at == rows_.end() || at->second.zone == kNoZone || at->second.cell >= carriage_.cells) return nullptr;
   return &at->second;
 }
 
-void Servers::renumber_zones(const std::vector<std::string>& from, const std::vector<std::string>& to) {
+void ShardServerPool::renumber_zones(const std::vector<std::string>& from,
+                                     const std::vector<std::string>& to) {
   for (auto& [name, row] : rows_) {
     if (row.zone == kNoZone) continue;
     const auto at = std::find(to.begin(), to.end(), from[static_cast<std::size_t>(row.zone)]);
@@ -143,36 +145,40 @@
   }
 }
 
-bool Servers::up(std::string_view server) const {
+bool ShardServerPool::up(std::string_view server) const {
   const auto at = rows_.find(server);
   return at != rows_.end() && at->second.standing == Standing::up;
 }
 
 // New sends may go over it: it has not kept silent, and its server is up and still there.
-bool Servers::wanted(const Link& link) const { return link.trusted && link.current && up(link.server); }
+bool ShardServerPool::wanted(const Link& link) const {
+  return link.trusted && link.current && up(link.server);
+}
 
-void Servers::call(const std::string& server, std::vector<Errand> errands) {
+void ShardServerPool::call(const std::string& server, std::vector<SendRequest> requests) {
   bury();
   const auto most = static_cast<std::size_t>(carriage_.parts_a_call);
-  for (std::size_t from = 0; from < errands.size(); from += most) {
-    const std::size_t to = std::min(errands.size(), from + most);
-    std::vector<Errand> together(std::make_move_iterator(errands.begin() + static_cast<std::ptrdiff_t>(from)),
-                                 std::make_move_iterator(errands.begin() + static_cast<std::ptrdiff_t>(to)));
-    tally_.sends += together.size();
+  for (std::size_t from = 0; from < requests.size(); from += most) {
+    const std::size_t to = std::min(requests.size(), from + most);
+    std::vector<SendRequest> together(
+        std::make_move_iterator(requests.begin() + static_cast<std::ptrdiff_t>(from)),
+        std::make_move_iterator(requests.begin() + static_cast<std::ptrdiff_t>(to)));
+    counters_.sends += together.size();
     Link* link = link_for(server, together);
     if (link == nullptr) {
-      for (const Errand& errand : together) end(errand, Fate::dial_failed);
+      for (const SendRequest& request : together) end(request, Fate::dial_failed);
       continue;
     }
     Link::Pending call{'1', {}};
-    for (Errand& errand : together) {
-      const SendKey key{errand.part, errand.send};
-      const std::string id = errand.id;
+    for (SendRequest& request : together) {
+      const SendKey key{request.part, request.send};
+      const std::string id = request.id;
       Link::Out out;
-      out.expiry = loop_.at(errand.not_past, [this, key] { give_up(key, Fate::expired); });
-      out.errand = std::move(errand);
-      log::event(log::Level::debug, "send.taken",
-                 {{"part", id}, {"send", out.errand.send}, {"server", server}, {"connection", link->number}});
+      out.expiry = loop_.call_at(request.deadline, [this, key] { give_up(key, Fate::expired); });
+      out.request = std::move(request);
+      log::event(
+          log::Level::debug, "send.taken",
+          {{"part", id}, {"send", out.request.send}, {"server", server}, {"connection", link->number}});
       out_.emplace(key, std::make_pair(link->number, id));
       link->outs.emplace(id, std::move(out));
       call.ids.push_back(id);
@@ -182,9 +188,9 @@
   }
 }
 
-void Servers::withdraw(const Rid& part, int send) { give_up({part, send}, Fate::revoked); }
+void ShardServerPool::cancel_send(const Rid& part, int send) { give_up({part, send}, Fate::revoked); }
 
-void Servers::unsend(const Rid& part, int send) {
+void ShardServerPool::cancel_if_unsent(const Rid& part, int send) {
   const auto at = out_.find({part, send});
   if (at == out_.end()) return;
   const auto [number, id] = at->second;
@@ -193,19 +199,19 @@
   rest(link);
 }
 
-void Servers::probe(const std::string& server) {
+void ShardServerPool::probe(const std::string& server) {
   bury();
-  tally_.probes += 1;
+  counters_.probes += 1;
   Link* link = link_for(server, {});
   if (link == nullptr || link->probing) {
-    probed.push_back({server, Fate::dial_failed, 0s, {}});
+    finished_probes.push_back({server, Fate::dial_failed, 0s, {}});
     return;
   }
   link->probing = true;
   link->probe_written = false;
   link->probe_at = loop_.now();
   const std::uint64_t number = link->number;
-  link->probe_expiry = loop_.at(loop_.now() + carriage_.connect_timeout, [this, number] {
+  link->probe_expiry = loop_.call_at(loop_.now() + carriage_.connect_timeout, [this, number] {
     const auto at = links_.find(number);
     if (at == links_.end()) return;
     at->second->probe_expiry.reset();
@@ -223,11 +229,12 @@
 // be sent again that is a delay, but a non-retriable part is lost for another's fault; so such a part goes
 // where nothing else is out, and nothing joins it, as long as a server has few connections of ours. Harm:
 // about one more connection a server.
-Servers::Link* Servers::link_for(const std::string& server, const std::vector<Errand>& errands) {
+ShardServerPool::Link* ShardServerPool::link_for(const std::string& server,
+                                                 const std::vector<SendRequest>& requests) {
   if (!rows_.contains(server)) return nullptr;
   const auto room = static_cast<std::size_t>(carriage_.parts_a_connection);
-  const auto once = [](const Errand& errand) { return errand.once; };
-  const bool careful = std::any_of(errands.begin(), errands.end(), once);
+  const auto once = [](const SendRequest& request) { return request.non_retriable; };
+  const bool careful = std::any_of(requests.begin(), requests.end(), once);
   Link* shared = nullptr;
   int held = 0;
   for (const auto& [number, link] : links_) {
@@ -237,59 +244,59 @@
     }
     if (!link->trusted || !link->current) continue;
     ++held;
-    if (errands.empty() ? link->probing : link->outs.size() + errands.size() > room) continue;
+    if (requests.empty() ? link->probing : link->outs.size() + requests.size() > room) continue;
     std::erase_if(link->given_up, [&](const auto& one) { return one.second < loop_.now(); });
-    const bool clash = std::any_of(errands.begin(), errands.end(), [&](const Errand& errand) {
-      return link->given_up.contains(errand.id) || link->outs.contains(errand.id);
+    const bool clash = std::any_of(requests.begin(), requests.end(), [&](const SendRequest& request) {
+      return link->given_up.contains(request.id) || link->outs.contains(request.id);
     });
     if (clash) continue;
     const bool apart = careful ? link->outs.empty()
                                : std::none_of(link->outs.begin(), link->outs.end(),
-                                              [&](const auto& out) { return once(out.second.errand); });
-    if (apart || errands.empty()) return link.get();
+                                              [&](const auto& out) { return once(out.second.request); });
+    if (apart || requests.empty()) return link.get();
     if (shared == nullptr) shared = link.get();
   }
-  if (shared != nullptr && held >= kFewLinks) return shared;
+  if (shared != nullptr && held >= kMaxIsolatingConnections) return shared;
   Link* fresh = dial(server);
   return fresh != nullptr ? fresh : shared;
 }
 
-Servers::Link* Servers::dial(const std::string& server) {
+ShardServerPool::Link* ShardServerPool::dial(const std::string& server) {
   const std::uint64_t number = next_link_++;
   Link& link = *(links_[number] = std::make_unique<Link>());
   link.number = number;
   link.server = server;
   link.last_heard = link.last_used = loop_.now();
-  link.race = book_.begin(server, loop_.now());
+  link.race = book_.begin_race(server, loop_.now());
   if (!race_on(link)) {
-    tally_.dial_failed += 1;
-    book_.over(*link.race);
+    counters_.dial_failed += 1;
+    book_.end_race(*link.race);
     links_.erase(number);
     plan_trials();
     return nullptr;
   }
-  tally_.opened += 1;
+  counters_.opened += 1;
   return &link;
 }
 
 // Carries out what the book decides for a race; false once it is lost.
-bool Servers::race_on(Link& link) {
+bool ShardServerPool::race_on(Link& link) {
   if (link.race_wake) loop_.cancel(*link.race_wake);
   link.race_wake.reset();
   for (;;) {
-    const addresses::Step step = book_.next(*link.race, loop_.now());
-    switch (step.what) {
-      case addresses::Step::What::dial:
+    const addresses::RaceStep step = book_.next_step(*link.race, loop_.now());
+    switch (step.action) {
+      case addresses::RaceStep::Action::dial:
         dial(link, step);
         break;
-      case addresses::Step::What::abandon:
+      case addresses::RaceStep::Action::abandon:
         log::event(log::Level::debug, "server.attempt_abandoned",
                    {{"server", link.server}, {"connection", link.number}, {"attempt", step.attempt}});
         lay_down(link, step.attempt);
         break;
-      case addresses::Step::What::wait: {
+      case addresses::RaceStep::Action::wait: {
         const std::uint64_t number = link.number;
-        link.race_wake = loop_.at(step.until, [this, number] {
+        link.race_wake = loop_.call_at(step.wait_until, [this, number] {
           const auto at = links_.find(number);
           if (at == links_.end() || !at->second->race) return;
           at->second->race_wake.reset();
@@ -297,19 +304,21 @@
         });
         return true;
       }
-      case addresses::Step::What::lost:
+      case addresses::RaceStep::Action::lost:
         return false;
     }
   }
 }
 
-void Servers::dial(Link& link, const addresses::Step& step) {
+void ShardServerPool::dial(Link& link, const addresses::RaceStep& step) {
   net::Descriptor fd = net::start_connect(step.to);
   if (!fd && errno == EMFILE && make_room_()) fd = net::start_connect(step.to);
   if (!fd) {
     const bool ours = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
-    book_.ended(*link.race, step.attempt, ours ? addresses::End::no_room : addresses::End::refused,
-                loop_.now());
+    book_.on_attempt_ended(
+        *link.race, step.attempt,
+        ours ? addresses::AttemptOutcome::no_local_resources : addresses::AttemptOutcome::refused,
+        loop_.now());
     return;
   }
   Link* const to = &link;
@@ -318,72 +327,74 @@
   Runner runner;
   runner.number = attempt;
   runner.to = step.to;
-  runner.prove = step.prove;
+  runner.prove = step.needs_proof;
   runner.stream = std::make_unique<net::Stream>(
       loop_, std::move(fd), false, 64 * 1024, most_out,
-      net::Stream::Told{[this, to, attempt] { came_up(*to, attempt); },
-                        [this, to, attempt] {
-                          if (to->winner == attempt) {
-                            arrived(*to);
-                          } else {
-                            runner_heard(*to, attempt);
-                          }
-                        },
-                        [this, to, attempt] {
-                          if (to->winner == attempt) written(*to);
-                        },
-                        [this, to, attempt](bool connected) {
-                          if (to->winner != attempt)
-                            return runner_ended(
-                                *to, attempt,
-                                connected ? addresses::End::reset_early : addresses::End::refused);
-                          if (!to->answered)
-                            book_.failed(to->server, to->address, addresses::End::reset_early, loop_.now());
-                          broke(*to, connected);
-                        }});
+      net::Stream::Callbacks{[this, to, attempt] { came_up(*to, attempt); },
+                             [this, to, attempt] {
+                               if (to->winner == attempt) {
+                                 arrived(*to);
+                               } else {
+                                 runner_heard(*to, attempt);
+                               }
+                             },
+                             [this, to, attempt] {
+                               if (to->winner == attempt) written(*to);
+                             },
+                             [this, to, attempt](bool connected) {
+                               if (to->winner != attempt)
+                                 return runner_ended(*to, attempt,
+                                                     connected ? addresses::AttemptOutcome::reset_early
+                                                               : addresses::AttemptOutcome::refused);
+                               if (!to->answered)
+                                 book_.on_connection_failed(to->server, to->address,
+                                                            addresses::AttemptOutcome::reset_early,
+                                                            loop_.now());
+                               broke(*to, connected);
+                             }});
   link.runners.push_back(std::move(runner));
 }
 
-void Servers::came_up(Link& link, int attempt) {
+void ShardServerPool::came_up(Link& link, int attempt) {
   const auto runner = std::find_if(link.runners.begin(), link.runners.end(),
                                    [&](const Runner& one) { return one.number == attempt; });
   if (runner == link.runners.end()) return;
   if (!runner->prove) return won(link, attempt);
   std::string bytes;
   end_frame(bytes, begin_frame(bytes, '3'));
-  runner->stream->out().put(bytes);
-  tally_.proofs += 1;
+  runner->stream->out().append(bytes);
+  counters_.proofs += 1;
   runner->stream->flush();
 }
 
 // Any frame that can be read proves that a server is there and speaks.
-void Servers::runner_heard(Link& link, int attempt) {
+void ShardServerPool::runner_heard(Link& link, int attempt) {
   const auto runner = std::find_if(link.runners.begin(), link.runners.end(),
                                    [&](const Runner& one) { return one.number == attempt; });
   if (runner == link.runners.end()) return;
-  net::Ring& in = runner->stream->in();
-  while (!in.empty() && runner->reader.state() == FrameReader::State::reading)
-    in.drop(runner->reader.take(in.front()));
-  if (runner->reader.state() == FrameReader::State::bad) {
+  net::RingBuffer& in = runner->stream->in();
+  while (!in.empty() && runner->reader.state() == FrameParser::State::incomplete)
+    in.consume(runner->reader.feed(in.front()));
+  if (runner->reader.state() == FrameParser::State::malformed) {
     runner->stream->close();
-    return runner_ended(link, attempt, addresses::End::reset_early);
+    return runner_ended(link, attempt, addresses::AttemptOutcome::reset_early);
   }
-  if (runner->reader.state() == FrameReader::State::done) won(link, attempt);
+  if (runner->reader.state() == FrameParser::State::complete) won(link, attempt);
 }
 
-void Servers::runner_ended(Link& link, int attempt, addresses::End end) {
+void ShardServerPool::runner_ended(Link& link, int attempt, addresses::AttemptOutcome end) {
   if (!link.race) return;
   log::event(
       log::Level::debug, "server.attempt_failed",
       {{"server", link.server}, {"connection", link.number}, {"attempt", attempt}, {"how", name_of(end)}});
-  book_.ended(*link.race, attempt, end, loop_.now());
+  book_.on_attempt_ended(*link.race, attempt, end, loop_.now());
   lay_down(link, attempt);
   if (!race_on(link)) return broke(link, false);
   plan_trials();
 }
 
 // Closed unused; kept until nothing can be telling of it any more.
-void Servers::lay_down(Link& link, int attempt) {
+void ShardServerPool::lay_down(Link& link, int attempt) {
   const auto runner = std::find_if(link.runners.begin(), link.runners.end(),
                                    [&](const Runner& one) { return one.number == attempt; });
   if (runner == link.runners.end()) return;
@@ -392,14 +403,14 @@
   link.runners.erase(runner);
 }
 
-void Servers::won(Link& link, int attempt) {
+void ShardServerPool::won(Link& link, int attempt) {
   const auto runner = std::find_if(link.runners.begin(), link.runners.end(),
                                    [&](const Runner& one) { return one.number == attempt; });
   // A list that has taken the address away meanwhile takes it out of the race as well.
-  if (rows_.contains(link.server) && !book_.usable(link.server, runner->to))
-    return runner_ended(link, attempt, addresses::End::not_needed);
-  book_.ended(*link.race, attempt, addresses::End::came_up, loop_.now());
-  book_.over(*link.race);
+  if (rows_.contains(link.server) && !book_.is_usable(link.server, runner->to))
+    return runner_ended(link, attempt, addresses::AttemptOutcome::not_needed);
+  book_.on_attempt_ended(*link.race, attempt, addresses::AttemptOutcome::connected, loop_.now());
+  book_.end_race(*link.race);
   link.race.reset();
   if (link.race_wake) loop_.cancel(*link.race_wake);
   link.race_wake.reset();
@@ -408,7 +419,7 @@
   link.stream = std::move(runner->stream);
   link.runners.erase(runner);
   while (!link.runners.empty()) lay_down(link, link.runners.front().number);
-  link.current = book_.usable(link.server, link.address);
+  link.current = book_.is_usable(link.server, link.address);
   link.last_heard = loop_.now();
   plan_trials();
   pump(link);
@@ -417,12 +428,12 @@
 
 // ---- trials ----
 
-void Servers::plan_trials() {
+void ShardServerPool::plan_trials() {
   if (trial_wake_) loop_.cancel(*trial_wake_);
   trial_wake_.reset();
-  const auto at = book_.next_trial_at();
+  const auto at = book_.next_trial_time();
   if (!at) return;
-  trial_wake_ = loop_.at(*at, [this] {
+  trial_wake_ = loop_.call_at(*at, [this] {
     trial_wake_.reset();
     bury();
     while (const auto trial = book_.next_trial(loop_.now())) start_trial(*trial);
@@ -431,11 +442,13 @@
 }
 
 // No client is let go for a trial: without a descriptor there is none now.
-void Servers::start_trial(const addresses::Trial& what) {
+void ShardServerPool::start_trial(const addresses::Trial& what) {
   net::Descriptor fd = net::start_connect(what.to);
   if (!fd) {
     const bool ours = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
-    return book_.trial_ended(what, ours ? addresses::End::no_room : addresses::End::refused, {}, loop_.now());
+    return book_.on_trial_ended(
+        what, ours ? addresses::AttemptOutcome::no_local_resources : addresses::AttemptOutcome::refused, {},
+        loop_.now());
   }
   const std::uint64_t number = next_trial_++;
   auto made = std::make_unique<Trial>();
@@ -444,33 +457,34 @@
   trial->started = loop_.now();
   trial->stream = std::make_unique<net::Stream>(
       loop_, std::move(fd), false, 4096, 4096,
-      net::Stream::Told{[trial] {
-                          std::string bytes;
-                          end_frame(bytes, begin_frame(bytes, '3'));
-                          trial->stream->out().put(bytes);
-                          trial->stream->flush();
-                        },
-                        [this, trial, number] {
-                          net::Ring& in = trial->stream->in();
-                          while (!in.empty() && trial->reader.state() == FrameReader::State::reading)
-                            in.drop(trial->reader.take(in.front()));
-                          if (trial->reader.state() == FrameReader::State::reading) return;
-                          end_trial(number, trial->reader.state() == FrameReader::State::done
-                                                ? addresses::End::came_up
-                                                : addresses::End::reset_early);
-                        },
-                        nullptr,
-                        [this, number](bool connected) {
-                          end_trial(number,
-                                    connected ? addresses::End::reset_early : addresses::End::refused);
-                        }});
-  trial->expiry = loop_.at(loop_.now() + what.limit, [this, number, trial] {
-    end_trial(number, trial->stream->connected() ? addresses::End::silent : addresses::End::hung);
+      net::Stream::Callbacks{[trial] {
+                               std::string bytes;
+                               end_frame(bytes, begin_frame(bytes, '3'));
+                               trial->stream->out().append(bytes);
+                               trial->stream->flush();
+                             },
+                             [this, trial, number] {
+                               net::RingBuffer& in = trial->stream->in();
+                               while (!in.empty() && trial->reader.state() == FrameParser::State::incomplete)
+                                 in.consume(trial->reader.feed(in.front()));
+                               if (trial->reader.state() == FrameParser::State::incomplete) return;
+                               end_trial(number, trial->reader.state() == FrameParser::State::complete
+                                                     ? addresses::AttemptOutcome::connected
+                                                     : addresses::AttemptOutcome::reset_early);
+                             },
+                             nullptr,
+                             [this, number](bool connected) {
+                               end_trial(number, connected ? addresses::AttemptOutcome::reset_early
+                                                           : addresses::AttemptOutcome::refused);
+                             }});
+  trial->expiry = loop_.call_at(loop_.now() + what.limit, [this, number, trial] {
+    end_trial(number, trial->stream->is_connected() ? addresses::AttemptOutcome::unresponsive
+                                                    : addresses::AttemptOutcome::timed_out);
   });
   trials_.emplace(number, std::move(made));
 }
 
-void Servers::end_trial(std::uint64_t number, addresses::End end) {
+void ShardServerPool::end_trial(std::uint64_t number, addresses::AttemptOutcome end) {
   const auto at = trials_.find(number);
   if (at == trials_.end()) return;
   Trial& trial = *at->second;
@@ -478,13 +492,13 @@
   trial.stream->close();
   log::event(log::Level::info, "server.address_tried",
              {{"server", trial.what.server}, {"address", trial.what.to.text()}, {"how", name_of(end)}});
-  book_.trial_ended(trial.what, end, loop_.now() - trial.started, loop_.now());
+  book_.on_trial_ended(trial.what, end, loop_.now() - trial.started, loop_.now());
   trial_graves_.push_back(std::move(at->second));
   trials_.erase(at);
   plan_trials();
 }
 
-std::size_t Servers::sockets() const {
+std::size_t ShardServerPool::socket_count() const {
   std::size_t out = trials_.size();
   for (const auto& [number, link] : links_) out += link->race ? link->runners.size() : 1;
   return out;
@@ -492,20 +506,20 @@
 
 // Writes the next frame. One frame at a time is in the ring, so that what is withdrawn before its turn is
 // never written, and so that each frame's last byte is told apart.
-void Servers::pump(Link& link) {
-  while (link.stream && !link.stream->closed() && link.writing.letter == 0 && !link.pending.empty()) {
+void ShardServerPool::pump(Link& link) {
+  while (link.stream && !link.stream->is_closed() && link.writing.type == 0 && !link.pending.empty()) {
     link.writing = std::move(link.pending.front());
     link.pending.pop_front();
     std::string bytes;
-    const std::size_t place = begin_frame(bytes, link.writing.letter);
-    if (link.writing.letter == '1') {
+    const std::size_t place = begin_frame(bytes, link.writing.type);
+    if (link.writing.type == '1') {
       // What waited for the connection, or behind another's frame, is not written any more where the list has
       // taken the server out meanwhile, or the window for its repeat is over.
       const bool takes_more = up(link.server);
       std::erase_if(link.writing.ids, [&](const std::string& id) {
         const auto out = link.outs.find(id);
         if (out == link.outs.end()) return true;
-        if (takes_more && loop_.now() < out->second.errand.begun_by) return false;
+        if (takes_more && loop_.now() < out->second.request.start_deadline) return false;
         settle(link, id, Fate::unused);
         return true;
       });
@@ -513,20 +527,20 @@
         Link::Out& out = link.outs.at(id);
         out.stage = Link::Stage::writing;
         out.given_at = loop_.now();
-        const auto left = std::max<std::int64_t>((out.errand.not_past - loop_.now()) / 1ms, 1);
-        put_part(bytes, id, out.errand.shard, "d=" + std::to_string(left) + out.errand.more,
-                 *out.errand.text);
+        const auto left = std::max<std::int64_t>((out.request.deadline - loop_.now()) / 1ms, 1);
+        append_part(bytes, id, out.request.shard, "d=" + std::to_string(left) + out.request.list_suffix,
+                    *out.request.text);
       }
-      if (!link.writing.ids.empty()) tally_.calls += 1;
-    } else if (link.writing.letter == '2') {
+      if (!link.writing.ids.empty()) counters_.calls += 1;
+    } else if (link.writing.type == '2') {
       bytes += link.writing.ids.front();
     }
-    if (link.writing.letter == '1' && link.writing.ids.empty()) {
+    if (link.writing.type == '1' && link.writing.ids.empty()) {
       link.writing = {};
       continue;
     }
     end_frame(bytes, place);
-    if (!must_hold(link.stream->out().put(bytes), "a frame fits its ring")) {
+    if (!must_hold(link.stream->out().append(bytes), "a frame fits its ring")) {
       drop(link, "a frame too large to write");
       return;
     }
@@ -534,9 +548,9 @@
   }
 }
 
-void Servers::written(Link& link) {
+void ShardServerPool::written(Link& link) {
   const Link::Pending frame = std::exchange(link.writing, {});
-  if (frame.letter == '1') {
+  if (frame.type == '1') {
     link.last_used = loop_.now();
     for (const std::string& id : frame.ids) {
       Link::Out& out = link.outs.at(id);
@@ -544,60 +558,60 @@
       out.given_at = loop_.now();
       if (!out.over) continue;
       link.pending.push_front({'2', {id}});
-      link.given_up[id] = out.errand.not_past + carriage_.longest_timeout;
+      link.given_up[id] = out.request.deadline + carriage_.longest_timeout;
       link.outs.erase(id);
     }
-  } else if (frame.letter == '4') {
+  } else if (frame.type == '4') {
     link.probe_written = true;
   }
   pump(link);
 }
 
-void Servers::arrived(Link& link) {
+void ShardServerPool::arrived(Link& link) {
   if (loop_.now() - heard_ > 4 * carriage_.tick && !out_.empty()) silent_until_ = loop_.now();
   heard_ = loop_.now();
   link.last_heard = loop_.now();
   link.trusted = true;
-  if (!std::exchange(link.answered, true)) book_.spoke(link.server, link.address);
-  net::Ring& in = link.stream->in();
-  while (!link.stream->closed() && !in.empty()) {
-    in.drop(link.reader.take(in.front()));
-    if (link.reader.state() == FrameReader::State::bad) {
-      tally_.odd_frames += 1;
+  if (!std::exchange(link.answered, true)) book_.on_response(link.server, link.address);
+  net::RingBuffer& in = link.stream->in();
+  while (!link.stream->is_closed() && !in.empty()) {
+    in.consume(link.reader.feed(in.front()));
+    if (link.reader.state() == FrameParser::State::malformed) {
+      counters_.odd_frames += 1;
       return drop(link, "a frame that cannot be read");
     }
-    if (link.reader.state() != FrameReader::State::done) {
+    if (link.reader.state() != FrameParser::State::complete) {
       expect_more(link);
       continue;
     }
     Frame frame = std::move(link.reader.frame());
-    link.reader.restart();
+    link.reader.reset();
     heard(link, frame);
   }
 }
 
 // A frame that has begun and is not gone on with is spoilt, and so is its connection: what is out there ends
 // at once instead of at a time limit. Harm: a server that stands still in the middle of a frame loses it.
-void Servers::expect_more(Link& link) {
+void ShardServerPool::expect_more(Link& link) {
   if (std::exchange(link.reading_on, true)) return;
   const std::uint64_t number = link.number;
-  loop_.at(loop_.now() + carriage_.connect_timeout, [this, number] {
+  loop_.call_at(loop_.now() + carriage_.connect_timeout, [this, number] {
     const auto at = links_.find(number);
     if (at == links_.end()) return;
     Link& late = *at->second;
     late.reading_on = false;
-    if (!late.reader.begun()) return;
+    if (!late.reader.has_started()) return;
     if (loop_.now() < late.last_heard + carriage_.connect_timeout) return expect_more(late);
-    tally_.odd_frames += 1;
+    counters_.odd_frames += 1;
     drop(late, "a frame that is not gone on with");
   });
 }
 
-void Servers::heard(Link& link, Frame& frame) {
-  if (frame.letter == '5') {
-    auto answer = read_answer(frame, carriage_.report_fields);
+void ShardServerPool::heard(Link& link, Frame& frame) {
+  if (frame.type == '5') {
+    auto answer = parse_part_answer(frame, carriage_.report_fields);
     if (!answer) {
-      tally_.odd_frames += 1;
+      counters_.odd_frames += 1;
       return drop(link, "an answer that cannot be read");
     }
     const auto at = link.outs.find(answer->id);
@@ -606,60 +620,60 @@
       if (link.given_up.erase(answer->id) > 0) return;
       // Any other is one part's answer under another's id, or comes twice: what is read here no longer fits
       // what was asked, and who waits here would wait in vain.
-      tally_.odd_frames += 1;
+      counters_.odd_frames += 1;
       return drop(link, "an answer for a part that is not out there");
     }
-    const Fate fate = answer->end == 'S'   ? Fate::returned
-                      : answer->end == 'E' ? Fate::app_error
-                                           : Fate::pushed_back;
+    const Fate fate = answer->outcome == 'S'   ? Fate::returned
+                      : answer->outcome == 'E' ? Fate::app_error
+                                               : Fate::pushed_back;
     const std::string id = answer->id;
     settle(link, id, fate, std::move(*answer));
     rest(link);
-  } else if (frame.letter == '4' && link.probing && link.probe_written) {
-    if (frame.rest == "E") {
+  } else if (frame.type == '4' && link.probing && link.probe_written) {
+    if (frame.payload == "E") {
       end_probe(link, Fate::app_error);
     } else {
-      end_probe(link, Fate::returned, read_report(frame.rest, carriage_.report_fields));
+      end_probe(link, Fate::returned, parse_load_report(frame.payload, carriage_.report_fields));
     }
     rest(link);
-  } else if (frame.letter == 'X') {
-    tally_.odd_frames += 1;
+  } else if (frame.type == 'X') {
+    counters_.odd_frames += 1;
     drop(link, "it could not use a frame");
-  } else if (frame.letter != '3' && frame.letter != '4') {
-    tally_.odd_frames += 1;
+  } else if (frame.type != '3' && frame.type != '4') {
+    counters_.odd_frames += 1;
     drop(link, "a frame that shard servers do not send");
   }
 }
 
 // A send that is out on this link comes to its end.
-void Servers::settle(Link& link, const std::string& id, Fate fate, PartAnswer answer) {
+void ShardServerPool::settle(Link& link, const std::string& id, Fate fate, PartAnswer answer) {
   const auto at = link.outs.find(id);
   Link::Out out = std::move(at->second);
   link.outs.erase(at);
   link.last_used = loop_.now();
   if (out.over) return;  // told already
   loop_.cancel(out.expiry);
-  out_.erase({out.errand.part, out.errand.send});
-  end(out.errand, fate, std::move(answer));
+  out_.erase({out.request.part, out.request.send});
+  end(out.request, fate, std::move(answer));
 }
 
-void Servers::end(const Errand& errand, Fate fate, PartAnswer answer) {
+void ShardServerPool::end(const SendRequest& request, Fate fate, PartAnswer answer) {
   static constexpr std::array<const char*, 8> kNames{"returned",    "app_error", "pushed_back", "expired",
                                                      "dial_failed", "dropped",   "revoked",     "unused"};
   if (fate != Fate::returned)
     log::event(log::Level::debug, "send.ended",
-               {{"part", errand.id},
-                {"send", errand.send},
+               {{"part", request.id},
+                {"send", request.send},
                 {"fate", kNames[static_cast<std::size_t>(fate)]},
-                {"after_ms", (loop_.now() - errand.pulled) / 1ms}});
-  tally_.dial_failed += fate == Fate::dial_failed ? 1 : 0;
-  tally_.dropped += fate == Fate::dropped ? 1 : 0;
-  tally_.expired += fate == Fate::expired ? 1 : 0;
-  ended.push_back({errand.part, errand.send, fate, loop_.now() - errand.pulled, answer.report, answer.score,
-                   std::move(answer.value)});
+                {"after_ms", (loop_.now() - request.issued_at) / 1ms}});
+  counters_.dial_failed += fate == Fate::dial_failed ? 1 : 0;
+  counters_.dropped += fate == Fate::dropped ? 1 : 0;
+  counters_.expired += fate == Fate::expired ? 1 : 0;
+  finished_sends.push_back({request.part, request.send, fate, loop_.now() - request.issued_at, answer.report,
+                            answer.score, std::move(answer.value)});
 }
 
-void Servers::give_up(const SendKey& key, Fate fate) {
+void ShardServerPool::give_up(const SendKey& key, Fate fate) {
   const auto at = out_.find(key);
   if (at == out_.end()) return;
   const auto [number, id] = at->second;
@@ -672,10 +686,10 @@
     out_.erase(at);
     out.over = true;
     doubt(link, out.given_at);
-    end(out.errand, fate);
+    end(out.request, fate);
   } else {
     doubt(link, out.given_at);
-    link.given_up[id] = out.errand.not_past + carriage_.longest_timeout;
+    link.given_up[id] = out.request.deadline + carriage_.longest_timeout;
     settle(link, id, fate);
     link.pending.push_back({'2', {id}});
     pump(link);
@@ -687,37 +701,38 @@
 // was given for as long as a new one may take to come up, new sends go over another, which tells a vanished
 // machine by not coming up: proof that they never ran, without which non-retriable parts are lost. It is
 // trusted again when it speaks. Harm: a server that is only slow gets a few more connections.
-void Servers::doubt(Link& link, Duration since) {
+void ShardServerPool::doubt(Link& link, Duration since) {
   if (link.last_heard > since || loop_.now() - since < carriage_.connect_timeout) return;
   if (std::exchange(link.trusted, false) && !link.answered) {
-    book_.failed(link.server, link.address, addresses::End::silent, loop_.now());
+    book_.on_connection_failed(link.server, link.address, addresses::AttemptOutcome::unresponsive,
+                               loop_.now());
     plan_trials();
   }
 }
 
-void Servers::end_probe(Link& link, Fate fate, LoadReport report) {
+void ShardServerPool::end_probe(Link& link, Fate fate, LoadReport report) {
   if (!link.probing) return;
   link.probing = false;
   if (link.probe_expiry) loop_.cancel(*link.probe_expiry);
   link.probe_expiry.reset();
-  probed.push_back({link.server, fate, loop_.now() - link.probe_at, report});
+  finished_probes.push_back({link.server, fate, loop_.now() - link.probe_at, report});
 }
 
 // A link with nothing to do is closed before the server may close it: what is written after that is reset,
 // and may have run as far as anyone can tell. One that is not trusted is closed at once. So is one that is
 // wanted no more while its server leaves a frame half taken whose parts have all had their fate: nobody else
 // would ever end it.
-void Servers::rest(Link& link) {
+void ShardServerPool::rest(Link& link) {
   if (link.ended || link.probing || link.race) return;
-  if (link.writing.letter != 0 && !wanted(link) &&
+  if (link.writing.type != 0 && !wanted(link) &&
       std::all_of(link.outs.begin(), link.outs.end(), [](const auto& one) { return one.second.over; }))
     return drop(link, "its server does not take a frame");
-  if (!link.outs.empty() || !link.pending.empty() || link.writing.letter != 0) return;
+  if (!link.outs.empty() || !link.pending.empty() || link.writing.type != 0) return;
   if (!wanted(link)) return drop(link, link.trusted ? "its server takes nothing new" : "it kept silent");
   if (link.idle_expiry) return;
   const std::uint64_t number = link.number;
   const Duration allowed = std::max(carriage_.idle - carriage_.connect_timeout, carriage_.idle / 2);
-  link.idle_expiry = loop_.at(link.last_used + allowed, [this, number, allowed] {
+  link.idle_expiry = loop_.call_at(link.last_used + allowed, [this, number, allowed] {
     const auto at = links_.find(number);
     if (at == links_.end()) return;
     Link& idle = *at->second;
@@ -730,14 +745,14 @@
   });
 }
 
-void Servers::drop(Link& link, const char* why) {
+void ShardServerPool::drop(Link& link, const char* why) {
   log::event(log::Level::debug, "server.connection_closed",
              {{"server", link.server}, {"connection", link.number}, {"why", why}});
   if (link.stream) link.stream->close();
   broke(link, link.stream != nullptr);
 }
 
-void Servers::broke(Link& link, bool connected) {
+void ShardServerPool::broke(Link& link, bool connected) {
   log::event(log::Level::debug, connected ? "server.connection_ended" : "server.not_connected",
              {{"server", link.server}, {"connection", link.number}, {"sends", link.outs.size()}});
   link.ended = true;
@@ -745,7 +760,7 @@
     if (*timer) loop_.cancel(**timer);
     timer->reset();
   }
-  if (link.race) book_.over(*link.race);
+  if (link.race) book_.end_race(*link.race);
   link.race.reset();
   while (!link.runners.empty()) lay_down(link, link.runners.front().number);
   while (!link.outs.empty()) {
@@ -760,7 +775,7 @@
   plan_trials();
 }
 
-void Servers::bury() {
+void ShardServerPool::bury() {
   graves_.clear();
   trial_graves_.clear();
   stream_graves_.clear();
--- a/src/servers/servers.h
+++ b/src/servers/shard_server_pool.h
@@ -10,32 +10,33 @@
 #include <utility>
 #include <vector>
 
-#include "addresses/book.h"
+#include "addresses/address_book.h"
 #include "config/commission.h"
-#include "list/news.h"
+#include "list/list_update.h"
 #include "net/loop.h"
 #include "net/socket.h"
 #include "servers/frames.h"
 
 namespace marbledyke::servers {
 
-inline constexpr int kFewLinks = 4;  // to one server, beyond which none is opened to keep parts apart
+inline constexpr int kMaxIsolatingConnections =
+    4;  // to one server, beyond which none is opened to keep parts apart
 
 // A send as it is to be carried out.
-struct Errand {
+struct SendRequest {
   Rid part;
   int send = 0;
   std::string id;  // the part's id on the wire
   int shard = 0;
-  bool once = false;  // may never be sent again if it may have run
-  std::string more;   // what its list holds beside the time left
+  bool non_retriable = false;  // may never be sent again if it may have run
+  std::string list_suffix;     // what its list holds beside the time left
   std::shared_ptr<const std::string> text;
-  Duration not_past{};
-  Duration begun_by = Duration::max();
-  Duration pulled{};
+  Duration deadline{};
+  Duration start_deadline = Duration::max();
+  Duration issued_at{};
 };
 
-struct Ended {
+struct SendResult {
   Rid part;
   int send = 0;
   Fate fate = Fate::unused;
@@ -45,53 +46,53 @@
   std::string value;
 };
 
-struct Probed {
+struct ProbeResult {
   std::string server;
   Fate fate = Fate::unused;
   Duration elapsed{};
   LoadReport report;
 };
 
-struct Tally {
+struct Counters {
   std::uint64_t opened = 0, calls = 0, sends = 0, probes = 0, dial_failed = 0, dropped = 0, expired = 0,
                 odd_frames = 0, proofs = 0;
 };
 
-class Servers {
+class ShardServerPool {
  public:
   // make_room is asked for a descriptor where none is left.
-  Servers(net::Loop& loop, const config::Carriage& carriage, std::uint32_t seed,
-          std::function<bool()> make_room);
-  ~Servers();
+  ShardServerPool(net::Loop& loop, const config::Carriage& carriage, std::uint32_t seed,
+                  std::function<bool()> make_room);
+  ~ShardServerPool();
 
   // The operator's rules for connecting and its own addresses; in place of those before.
-  void configure(const addresses::Rules& rules,
-                 std::map<std::string, addresses::Book::Configured, std::less<>> configured);
+  void configure(const addresses::ConnectSettings& rules,
+                 std::map<std::string, addresses::AddressBook::ServerOverride, std::less<>> configured);
 
   // An entry of a whole list that cannot be read leaves its server as it was.
-  void listed(const list::News& news);
+  void apply_list_update(const list::ListUpdate& news);
   // What the list last said of a server that it has; none: nothing, or not under the present zones and cells.
   const ListRow* last_row(std::string_view server) const;
   // Before the settings name other zones: what is held is numbered anew, by their names.
   void renumber_zones(const std::vector<std::string>& from, const std::vector<std::string>& to);
   // One turn's sends to one server, in one call as far as a call goes.
-  void call(const std::string& server, std::vector<Errand> errands);
-  void withdraw(const Rid& part, int send);
-  void unsend(const Rid& part, int send);  // ends it as never sent, if that is still true
+  void call(const std::string& server, std::vector<SendRequest> requests);
+  void cancel_send(const Rid& part, int send);
+  void cancel_if_unsent(const Rid& part, int send);  // ends it as never sent, if that is still true
   void probe(const std::string& server);
 
   // What has ended since the last time.
-  std::vector<Ended> ended;
-  std::vector<Probed> probed;
+  std::vector<SendResult> finished_sends;
+  std::vector<ProbeResult> finished_probes;
 
   // The end of the last time when no server said anything for some ticks, with sends out.
   Duration silent_until() const { return silent_until_; }
 
-  const Tally& tally() const { return tally_; }
-  const addresses::Book& book() const { return book_; }
-  std::size_t connections() const { return links_.size(); }
-  std::size_t servers_listed() const { return rows_.size(); }
-  std::size_t sockets() const;  // those of races and trials with them
+  const Counters& counters() const { return counters_; }
+  const addresses::AddressBook& address_book() const { return book_; }
+  std::size_t connection_count() const { return links_.size(); }
+  std::size_t server_count() const { return rows_.size(); }
+  std::size_t socket_count() const;  // those of races and trials with them
 
  private:
   struct Link;
@@ -99,18 +100,18 @@
   struct Trial;
   using SendKey = std::pair<Rid, int>;
 
-  Link* link_for(const std::string& server, const std::vector<Errand>& errands);
+  Link* link_for(const std::string& server, const std::vector<SendRequest>& requests);
   Link* dial(const std::string& server);
   bool race_on(Link& link);
-  void dial(Link& link, const addresses::Step& step);
+  void dial(Link& link, const addresses::RaceStep& step);
   void came_up(Link& link, int attempt);
   void runner_heard(Link& link, int attempt);
-  void runner_ended(Link& link, int attempt, addresses::End end);
+  void runner_ended(Link& link, int attempt, addresses::AttemptOutcome end);
   void won(Link& link, int attempt);
   void lay_down(Link& link, int attempt);
   void plan_trials();
   void start_trial(const addresses::Trial& what);
-  void end_trial(std::uint64_t number, addresses::End end);
+  void end_trial(std::uint64_t number, addresses::AttemptOutcome end);
   void relist();
   void pump(Link& link);
   void written(Link& link);
@@ -119,7 +120,7 @@
   void broke(Link& link, bool connected);
   void drop(Link& link, const char* why);
   void settle(Link& link, const std::string& id, Fate fate, PartAnswer answer = {});
-  void end(const Errand& errand, Fate fate, PartAnswer answer = {});
+  void end(const SendRequest& request, Fate fate, PartAnswer answer = {});
   void give_up(const SendKey& key, Fate fate);
   void end_probe(Link& link, Fate fate, LoadReport report = {});
   void doubt(Link& link, Duration since);
@@ -132,7 +133,7 @@
   net::Loop& loop_;
   const config::Carriage& carriage_;
   std::function<bool()> make_room_;
-  addresses::Book book_;
+  addresses::AddressBook book_;
   std::map<std::string, ListRow, std::less<>> rows_;      // the servers listed, up or draining
   std::map<std::uint64_t, std::unique_ptr<Link>> links_;  // by their number, so in the order of their opening
   std::map<std::uint64_t, std::unique_ptr<Trial>> trials_;
@@ -143,7 +144,7 @@
   std::map<SendKey, std::pair<std::uint64_t, std::string>> out_;  // link and wire id of each send that is out
   std::uint64_t next_link_ = 1, next_trial_ = 1;
   Duration heard_{}, silent_until_ = Duration::min() / 2;
-  Tally tally_;
+  Counters counters_;
 };
 
 }  // namespace marbledyke::servers
--- a/src/sru/front.cpp
+++ b/src/sru/front.cpp
@@ -31,14 +31,14 @@
 struct Front::Caller {
   std::uint64_t number = 0;
   std::unique_ptr<net::Stream> stream;
-  net::HttpReader reader;
+  net::HttpParser reader;
   Request request;
   Duration first_byte{}, since{};
   search::Operation waits = 0;
   bool in_hand = false, answering = false, spoken = false, stays = true, parting = false;
   std::size_t dropped = 0;
 
-  explicit Caller(std::size_t most_body) : reader(net::HttpReader::Kind::request, most_body) {}
+  explicit Caller(std::size_t most_body) : reader(net::HttpParser::Kind::request, most_body) {}
 };
 
 Front::Front(net::Loop& loop, const search::Terms& terms, const config::Carriage& carriage,
@@ -48,9 +48,9 @@
       most_(most),
       listener_(std::make_unique<net::Listener>(
           loop, listen,
-          net::Listener::Told{[this] { return callers_.size() < most_ || make_room(); },
-                              [this] { return make_room(); },
-                              [this](net::Descriptor fd) { came(std::move(fd)); }})) {
+          net::Listener::Callbacks{[this] { return callers_.size() < most_ || make_room(); },
+                                   [this] { return make_room(); },
+                                   [this](net::Descriptor fd) { came(std::move(fd)); }})) {
   sweep();
 }
 
@@ -78,30 +78,30 @@
   callers_.emplace(caller->number, std::move(made));
   caller->stream = std::make_unique<net::Stream>(
       loop_, std::move(fd), true, desk_.limits().message, kMostAnswer,
-      net::Stream::Told{nullptr, [this, caller] { arrived(*caller); }, [this, caller] { drained(*caller); },
-                        [this, caller](bool) { close(*caller); }});
+      net::Stream::Callbacks{nullptr, [this, caller] { arrived(*caller); },
+                             [this, caller] { drained(*caller); }, [this, caller](bool) { close(*caller); }});
 }
 
 void Front::arrived(Caller& caller) {
-  net::Ring& in = caller.stream->in();
+  net::RingBuffer& in = caller.stream->in();
   if (caller.parting) {
     caller.dropped += in.size();
     if (caller.dropped <= kMostDropped) in.clear();
     return;
   }
-  while (!caller.in_hand && !caller.answering && !caller.stream->closed() && !in.empty()) {
-    if (!caller.reader.begun()) caller.first_byte = loop_.now();
+  while (!caller.in_hand && !caller.answering && !caller.stream->is_closed() && !in.empty()) {
+    if (!caller.reader.has_started()) caller.first_byte = loop_.now();
     caller.spoken = true;
-    in.drop(caller.reader.take(in.front()));
-    if (caller.reader.state() == net::HttpReader::State::bad) {
+    in.consume(caller.reader.feed(in.front()));
+    if (caller.reader.state() == net::HttpParser::State::malformed) {
       tally_.unreadable += 1;
       caller.in_hand = true;
       caller.stays = false;
       static log::Throttled throttled(log::Level::info, "sru.unreadable");
-      throttled.event({{"status", caller.reader.complaint()}});
-      return say(caller, caller.reader.complaint(), "the request cannot be read\n");
+      throttled.event({{"status", caller.reader.error_status()}});
+      return say(caller, caller.reader.error_status(), "the request cannot be read\n");
     }
-    if (caller.reader.state() == net::HttpReader::State::done) return request(caller);
+    if (caller.reader.state() == net::HttpParser::State::complete) return request(caller);
   }
 }
 
@@ -109,10 +109,10 @@
   tally_.requests += 1;
   caller.in_hand = true;
   const net::HttpMessage& message = caller.reader.message();
-  caller.stays = message.stays() && !parting_;
-  if (message.second == "/healthz")
+  caller.stays = message.keeps_alive() && !parting_;
+  if (message.target_or_status == "/healthz")
     return say(caller, leaving_ ? 503 : 200, leaving_ ? "stopping\n" : "serving\n");
-  if (message.first != "GET" && message.first != "POST")
+  if (message.method_or_version != "GET" && message.method_or_version != "POST")
     return say(caller, 405, "GET and POST are answered here\n");
   caller.request = read_request(message);
   Request& its = caller.request;
@@ -186,10 +186,10 @@
   caller.answering = true;
   caller.since = loop_.now();
   if (parting_) caller.stays = false;
-  caller.reader.restart();
-  if (!caller.stream->out().put(
-          net::answer_text(status, body.starts_with('<') ? "application/xml; charset=utf-8" : "text/plain",
-                           body, caller.stays, come_back)))
+  caller.reader.reset();
+  if (!caller.stream->out().append(net::format_response(
+          status, body.starts_with('<') ? "application/xml; charset=utf-8" : "text/plain", body, caller.stays,
+          come_back)))
     return close(caller);
   caller.stream->flush();
 }
@@ -201,13 +201,13 @@
     return part(caller);
   }
   // What came meanwhile has its turn after everyone else's.
-  loop_.at(loop_.now(), [this, number = caller.number, there = std::weak_ptr(there_)] {
+  loop_.call_at(loop_.now(), [this, number = caller.number, there = std::weak_ptr(there_)] {
     if (there.expired()) return;
     const auto at = callers_.find(number);
     if (at == callers_.end()) return;
     at->second->answering = false;
     arrived(*at->second);
-    if (!at->second->stream->closed()) at->second->stream->read_on();
+    if (!at->second->stream->is_closed()) at->second->stream->resume_reading();
   });
 }
 
@@ -215,8 +215,8 @@
   caller.parting = true;
   caller.since = loop_.now();
   caller.stream->in().clear();
-  caller.stream->finish();
-  caller.stream->read_on();
+  caller.stream->shutdown_write();
+  caller.stream->resume_reading();
 }
 
 void Front::close(Caller& caller) {
@@ -229,7 +229,7 @@
   }
   graves_.push_back(std::move(at->second));
   callers_.erase(at);
-  if (listener_) listener_->again();
+  if (listener_) listener_->resume();
   pump();
 }
 
@@ -239,13 +239,14 @@
   std::vector<Caller*> over, unended;
   for (const auto& [number, caller] : callers_) {
     if (caller->in_hand) continue;
-    if (caller->parting          ? now >= caller->since + carriage_.connect_timeout
-        : caller->answering      ? now >= caller->since + carriage_.longest_timeout
-        : caller->reader.begun() ? false
-                                 : now >= caller->since + (caller->spoken ? kIdle : kSaysNothing)) {
+    if (caller->parting                ? now >= caller->since + carriage_.connect_timeout
+        : caller->answering            ? now >= caller->since + carriage_.longest_timeout
+        : caller->reader.has_started() ? false
+                                       : now >= caller->since + (caller->spoken ? kIdle : kSaysNothing)) {
       tally_.silent += caller->spoken ? 0 : 1;
       over.push_back(caller.get());
-    } else if (caller->reader.begun() && !caller->answering && now >= caller->first_byte + kSaysNothing) {
+    } else if (caller->reader.has_started() && !caller->answering &&
+               now >= caller->first_byte + kSaysNothing) {
       unended.push_back(caller.get());
     }
   }
@@ -255,16 +256,16 @@
     say(*caller, 408, "the request does not end\n");
   }
   for (Caller* caller : over) close(*caller);
-  swept_ = loop_.at(now + kSweep, [this] { sweep(); });
+  swept_ = loop_.call_at(now + kSweep, [this] { sweep(); });
 }
 
 bool Front::make_room() {
   Caller* best = nullptr;
   const auto spared = [](const Caller& caller) {
-    return std::make_pair(caller.parting          ? 0
-                          : !caller.spoken        ? 1
-                          : caller.reader.begun() ? 3
-                                                  : 2,
+    return std::make_pair(caller.parting                ? 0
+                          : !caller.spoken              ? 1
+                          : caller.reader.has_started() ? 3
+                                                        : 2,
                           caller.since);
   };
   for (const auto& [number, caller] : callers_) {
@@ -289,7 +290,7 @@
   std::vector<Caller*> idle;
   for (const auto& [number, caller] : callers_) {
     if (caller->in_hand || caller->answering || caller->parting) continue;
-    if (!caller->reader.begun() || caller->first_byte < since) idle.push_back(caller.get());
+    if (!caller->reader.has_started() || caller->first_byte < since) idle.push_back(caller.get());
   }
   for (Caller* caller : idle) close(*caller);
 }
--- a/src/sru/message.cpp
+++ b/src/sru/message.cpp
@@ -471,13 +471,13 @@
 Request read_request(const net::HttpMessage& message) {
   Request out;
   try {
-    const std::string& target = message.second;
+    const std::string& target = message.target_or_status;
     const std::size_t mark = std::min(target.find('?'), target.size());
     const auto path = unescaped(std::string_view(target).substr(0, mark));
     if (!path) refuse(Trouble::unknown_database, target.substr(0, std::min<std::size_t>(mark, 100)));
     out.database = path->substr(std::min(path->find_first_not_of('/'), path->size()));
     parameters(std::string_view(target).substr(std::min(mark + 1, target.size())), out);
-    if (message.first == "POST") {
+    if (message.method_or_version == "POST") {
       const std::string* type = message.header("content-type");
       if (type != nullptr && !type->starts_with("application/x-www-form-urlencoded"))
         refuse(Trouble::unsupported_operation, "a body that is no form");
--- a/src/standins/discovery.cpp
+++ b/src/standins/discovery.cpp
@@ -30,7 +30,7 @@
 struct Discovery::Caller {
   std::uint64_t number = 0;
   std::unique_ptr<net::Stream> stream;
-  net::HttpReader reader{net::HttpReader::Kind::request, kMostBody};
+  net::HttpParser reader{net::HttpParser::Kind::request, kMostBody};
   std::optional<std::int64_t> waits_since;
   std::optional<net::Loop::Timer> limit;
 };
@@ -45,7 +45,7 @@
   for (const auto& [number, caller] : callers_) {
     if (caller->limit) loop_.cancel(*caller->limit);
   }
-  loop_.forget(listener_.get(), place_);
+  loop_.unwatch(listener_.get(), place_);
 }
 
 void Discovery::set(const Listed& server) {
@@ -71,10 +71,10 @@
   return out.dump();
 }
 
-void Discovery::ready(bool, bool) {
+void Discovery::on_ready(bool, bool) {
   graves_.clear();
   for (;;) {
-    net::Descriptor fd = net::accept_from(listener_.get());
+    net::Descriptor fd = net::accept_connection(listener_.get());
     if (!fd) return;
     auto made = std::make_unique<Caller>();
     Caller* const caller = made.get();
@@ -82,26 +82,26 @@
     callers_.emplace(caller->number, std::move(made));
     caller->stream = std::make_unique<net::Stream>(
         loop_, std::move(fd), true, kMostBody, kMostAnswer,
-        net::Stream::Told{nullptr, [this, caller] { arrived(*caller); }, nullptr,
-                          [this, caller](bool) {
-                            if (caller->limit) loop_.cancel(*caller->limit);
-                            caller->stream->close();
-                            const auto at = callers_.find(caller->number);
-                            if (at == callers_.end()) return;
-                            graves_.push_back(std::move(at->second));
-                            callers_.erase(at);
-                          }});
+        net::Stream::Callbacks{nullptr, [this, caller] { arrived(*caller); }, nullptr,
+                               [this, caller](bool) {
+                                 if (caller->limit) loop_.cancel(*caller->limit);
+                                 caller->stream->close();
+                                 const auto at = callers_.find(caller->number);
+                                 if (at == callers_.end()) return;
+                                 graves_.push_back(std::move(at->second));
+                                 callers_.erase(at);
+                               }});
   }
 }
 
 void Discovery::arrived(Caller& caller) {
-  net::Ring& in = caller.stream->in();
-  while (!in.empty() && !caller.stream->closed() && !caller.waits_since) {
-    in.drop(caller.reader.take(in.front()));
-    if (caller.reader.state() == net::HttpReader::State::bad) return caller.stream->close();
-    if (caller.reader.state() != net::HttpReader::State::done) continue;
-    const std::string target = caller.reader.message().second;
-    caller.reader.restart();
+  net::RingBuffer& in = caller.stream->in();
+  while (!in.empty() && !caller.stream->is_closed() && !caller.waits_since) {
+    in.consume(caller.reader.feed(in.front()));
+    if (caller.reader.state() == net::HttpParser::State::malformed) return caller.stream->close();
+    if (caller.reader.state() != net::HttpParser::State::complete) continue;
+    const std::string target = caller.reader.message().target_or_status;
+    caller.reader.reset();
     const auto since = value_of(target, "index");
     const auto wait = value_of(target, "wait");
     if (!since || refusing_) {
@@ -110,11 +110,11 @@
       answer(caller, *since);
     } else {
       caller.waits_since = since;
-      caller.limit =
-          loop_.at(loop_.now() + std::chrono::milliseconds(std::min(*wait, kLongestWait)), [this, &caller] {
-            caller.limit.reset();
-            answer(caller, *caller.waits_since);
-          });
+      caller.limit = loop_.call_at(loop_.now() + std::chrono::milliseconds(std::min(*wait, kLongestWait)),
+                                   [this, &caller] {
+                                     caller.limit.reset();
+                                     answer(caller, *caller.waits_since);
+                                   });
     }
   }
 }
@@ -133,9 +133,9 @@
   caller.limit.reset();
   caller.waits_since.reset();
   const std::string text = refusing_ ? "not now\n" : body(since);
-  caller.stream->out().put((refusing_ ? "HTTP/1.1 503 Service Unavailable\r\n"
-                                      : "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n") +
-                           ("Content-Length: " + std::to_string(text.size()) + "\r\n\r\n") + text);
+  caller.stream->out().append((refusing_ ? "HTTP/1.1 503 Service Unavailable\r\n"
+                                         : "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n") +
+                              ("Content-Length: " + std::to_string(text.size()) + "\r\n\r\n") + text);
   caller.stream->flush();
   if (!told || refusing_) return;
   for (const auto& [name, one] : servers_) {
--- a/src/standins/discovery.h
+++ b/src/standins/discovery.h
@@ -21,7 +21,7 @@
   std::vector<std::string> more_addresses;
 };
 
-class Discovery final : public net::Watcher {
+class Discovery final : public net::EventHandler {
  public:
   // Throws std::system_error where the address cannot be had.
   Discovery(net::Loop& loop, const net::Address& address);
@@ -34,7 +34,7 @@
   // Told of each entry as it is written to who asked.
   std::function<void(const Listed&)> told;
 
-  void ready(bool readable, bool writable) override;
+  void on_ready(bool readable, bool writable) override;
 
  private:
   struct Caller;
--- a/src/standins/leaf.cpp
+++ b/src/standins/leaf.cpp
@@ -45,7 +45,7 @@
   return kNames[static_cast<std::size_t>(door)];
 }
 
-struct Leaf::Listener final : net::Watcher {
+struct Leaf::Listener final : net::EventHandler {
   Listener(net::Loop& its_loop, net::Descriptor its_fd, std::function<void()> its_told)
       : loop(its_loop),
         fd(std::move(its_fd)),
@@ -54,10 +54,10 @@
   ~Listener() override { stop(); }
   void stop() {
     if (!fd) return;
-    loop.forget(fd.get(), place);
+    loop.unwatch(fd.get(), place);
     fd.close();
   }
-  void ready(bool, bool) override { told(); }
+  void on_ready(bool, bool) override { told(); }
 
   net::Loop& loop;
   net::Descriptor fd;
@@ -70,7 +70,7 @@
   std::size_t door = 0;
   std::unique_ptr<net::Stream> stream;
   int fd = -1;
-  servers::FrameReader reader;
+  servers::FrameParser reader;
   bool given = false;  // a part came in here
   bool stalled = false;
   std::size_t taken = 0;  // bytes of a call that is not whole
@@ -114,7 +114,7 @@
   }
   if (how == Door::hangs) {
     sockaddr_storage own;
-    const socklen_t size = door.address.put(own);
+    const socklen_t size = door.address.to_sockaddr(own);
     net::Descriptor fd(socket(own.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     const int on = 1;
     setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
@@ -142,7 +142,7 @@
   for (;;) {
     DoorAt& door = doors_[number];
     if (!door.listener || !door.listener->fd) return;
-    net::Descriptor fd = net::accept_from(door.listener->fd.get());
+    net::Descriptor fd = net::accept_connection(door.listener->fd.get());
     if (!fd) return;
     tally_.accepted += 1;
     auto made = std::make_unique<Wire>();
@@ -154,52 +154,52 @@
     wires_.emplace(wire->number, std::move(made));
     wire->stream =
         std::make_unique<net::Stream>(loop_, std::move(fd), true, kMostIn, kMostOut,
-                                      net::Stream::Told{nullptr, [this, wire] { arrived(*wire); }, nullptr,
-                                                        [this, wire](bool) { gone(*wire); }});
+                                      net::Stream::Callbacks{nullptr, [this, wire] { arrived(*wire); },
+                                                             nullptr, [this, wire](bool) { gone(*wire); }});
     if (door.how == Door::resets_on_accept) reset(*wire);
   }
 }
 
 void Leaf::arrived(Wire& wire) {
-  net::Ring& in = wire.stream->in();
-  while (!wire.stream->closed() && !wire.stalled && !in.empty()) {
+  net::RingBuffer& in = wire.stream->in();
+  while (!wire.stream->is_closed() && !wire.stalled && !in.empty()) {
     const Door how = doors_[wire.door].how;
-    if (how == Door::resets_in_frame && in.front().size() >= 5 && !wire.reader.begun() &&
+    if (how == Door::resets_in_frame && in.front().size() >= 5 && !wire.reader.has_started() &&
         in.front()[4] == '1') {
       // Some bytes are taken, the rest of the call never is.
       wire.taken = std::min(in.size(), kBytesBeforeReset);
       return reset(wire);
     }
-    if (how == Door::stalls && in.front().size() >= 5 && !wire.reader.begun() && in.front()[4] == '1') {
+    if (how == Door::stalls && in.front().size() >= 5 && !wire.reader.has_started() && in.front()[4] == '1') {
       wire.stalled = true;
       return;
     }
-    in.drop(wire.reader.take(in.front()));
-    if (wire.reader.state() == servers::FrameReader::State::bad) {
+    in.consume(wire.reader.feed(in.front()));
+    if (wire.reader.state() == servers::FrameParser::State::malformed) {
       tally_.bad += 1;
       return reset(wire);
     }
-    if (wire.reader.state() != servers::FrameReader::State::done) continue;
+    if (wire.reader.state() != servers::FrameParser::State::complete) continue;
     const servers::Frame frame = std::move(wire.reader.frame());
-    wire.reader.restart();
+    wire.reader.reset();
     std::string out;
     if (hears && !hears(static_cast<int>(wire.door))) continue;
-    if (frame.letter == '1') {
-      call(wire, frame.rest);
-      if (!wire.stream->closed() && how == Door::resets_after_call) return reset(wire);
-    } else if (frame.letter == '2') {
+    if (frame.type == '1') {
+      call(wire, frame.payload);
+      if (!wire.stream->is_closed() && how == Door::resets_after_call) return reset(wire);
+    } else if (frame.type == '2') {
       tally_.given_up += 1;
       if (take) {
-        if (gave_up) gave_up(wire.number, frame.rest);
+        if (gave_up) gave_up(wire.number, frame.payload);
       } else {
-        wire.given_up[frame.rest] = true;
+        wire.given_up[frame.payload] = true;
       }
-    } else if (frame.letter == '3' || frame.letter == '4') {
+    } else if (frame.type == '3' || frame.type == '4') {
       tally_.probes += 1;
-      const std::size_t place = servers::begin_frame(out, frame.letter);
-      out += frame.letter == '3' ? "S" : reports ? reports() : "-";
+      const std::size_t place = servers::begin_frame(out, frame.type);
+      out += frame.type == '3' ? "S" : reports ? reports() : "-";
       servers::end_frame(out, place);
-      wire.stream->out().put(out);
+      wire.stream->out().append(out);
       wire.stream->flush();
     }
   }
@@ -229,7 +229,7 @@
     if (ran) ran(id, number, static_cast<int>(wire.door));
     if (take) {
       take({wire.number, id, number, static_cast<int>(wire.door), std::exchange(first, false)});
-      if (wire.stream->closed()) return;
+      if (wire.stream->is_closed()) return;
       continue;
     }
     std::optional<std::string> its;
@@ -241,10 +241,10 @@
     if (service <= 0us) {
       answer(wire.number, id, its);
     } else {
-      loop_.at(loop_.now() + service,
-               [this, to = wire.number, id, its = std::move(its)] { answer(to, id, its); });
+      loop_.call_at(loop_.now() + service,
+                    [this, to = wire.number, id, its = std::move(its)] { answer(to, id, its); });
     }
-    if (wire.stream->closed()) return;
+    if (wire.stream->is_closed()) return;
   }
 }
 
@@ -263,13 +263,13 @@
   out += id + ' ' + end + " 1 " + report + '\n';
   if (end == 'S') out += its != nullptr ? *its : std::string(options_.value_size, 'v');
   servers::end_frame(out, place);
-  if (!at->second->stream->out().put(out)) return false;
+  if (!at->second->stream->out().append(out)) return false;
   at->second->stream->flush();
   return true;
 }
 
 void Leaf::reset(Wire& wire) {
-  if (wire.stream->closed()) return;
+  if (wire.stream->is_closed()) return;
   tally_.cut += 1;
   // A close with nothing lingering is a reset for TCP; a local peer sees one where something was left unread.
   const linger now{1, 0};
@@ -284,7 +284,7 @@
   if (at == wires_.end()) return;
   graves_.push_back(std::move(at->second));
   wires_.erase(at);
-  if (graves_.size() == 1) loop_.at(loop_.now(), [this] { bury(); });
+  if (graves_.size() == 1) loop_.call_at(loop_.now(), [this] { bury(); });
 }
 
 void Leaf::cut_all() {
--- a/src/standins/load.cpp
+++ b/src/standins/load.cpp
@@ -16,7 +16,7 @@
 struct Load::Connection {
   std::uint64_t number = 0;
   std::unique_ptr<net::Stream> stream;
-  net::HttpReader reader{net::HttpReader::Kind::answer, 1024 * 1024};
+  net::HttpParser reader{net::HttpParser::Kind::response, 1024 * 1024};
   std::optional<Request> request;
   std::optional<net::Loop::Timer> limit;
   bool used = false;  // has had an answer
@@ -53,7 +53,7 @@
     next_due_ += Duration(static_cast<std::int64_t>(gap * 1e6));
     finished_ = next_due_ > begun_ + std::chrono::seconds(options_.seconds);
   }
-  if (!finished_) loop_.at(next_due_, [this] { next(); });
+  if (!finished_) loop_.call_at(next_due_, [this] { next(); });
 }
 
 void Load::send(Request request) {
@@ -82,11 +82,11 @@
   connection->request = std::move(request);
   connections_.emplace(connection->number, std::move(made));
   tally_.opened += 1;
-  connection->stream =
-      std::make_unique<net::Stream>(loop_, std::move(fd), false, 256 * 1024, 64 * 1024,
-                                    net::Stream::Told{[this, connection] { write(*connection); },
-                                                      [this, connection] { arrived(*connection); }, nullptr,
-                                                      [this, connection](bool) { ended(*connection); }});
+  connection->stream = std::make_unique<net::Stream>(
+      loop_, std::move(fd), false, 256 * 1024, 64 * 1024,
+      net::Stream::Callbacks{[this, connection] { write(*connection); },
+                             [this, connection] { arrived(*connection); }, nullptr,
+                             [this, connection](bool) { ended(*connection); }});
   connection->stream->flush();
   begin(*connection);
 }
@@ -96,7 +96,7 @@
   ++out_;
   const std::uint64_t number = connection.number;
   const Duration until = connection.request->due + std::chrono::milliseconds(options_.timeout_ms);
-  connection.limit = loop_.at(until, [this, number] {
+  connection.limit = loop_.call_at(until, [this, number] {
     const auto at = connections_.find(number);
     if (at == connections_.end() || !at->second->request) return;
     at->second->limit.reset();
@@ -121,29 +121,29 @@
   // The client's time is up by when the request was due.
   const auto left =
       std::max<std::int64_t>(options_.timeout_ms - (loop_.now() - connection.request->due) / 1ms, 1);
-  connection.stream->out().put("POST /api HTTP/1.1\r\nHost: lab\r\nX-Request-Id: " + connection.request->id +
-                               "\r\nX-Class: " + options_.op_type +
-                               "\r\nX-Tenant: lab\r\nX-Deadline-Ms: " + std::to_string(left) +
-                               "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+  connection.stream->out().append(
+      "POST /api HTTP/1.1\r\nHost: lab\r\nX-Request-Id: " + connection.request->id +
+      "\r\nX-Class: " + options_.op_type + "\r\nX-Tenant: lab\r\nX-Deadline-Ms: " + std::to_string(left) +
+      "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
   connection.stream->flush();
 }
 
 void Load::arrived(Connection& connection) {
-  net::Ring& in = connection.stream->in();
-  while (!in.empty() && !connection.stream->closed()) {
-    in.drop(connection.reader.take(in.front()));
-    if (connection.reader.state() == net::HttpReader::State::reading) continue;
-    if (connection.reader.state() == net::HttpReader::State::bad || !connection.request) {
+  net::RingBuffer& in = connection.stream->in();
+  while (!in.empty() && !connection.stream->is_closed()) {
+    in.consume(connection.reader.feed(in.front()));
+    if (connection.reader.state() == net::HttpParser::State::incomplete) continue;
+    if (connection.reader.state() == net::HttpParser::State::malformed || !connection.request) {
       connection.stream->close();
       return ended(connection);
     }
     const net::HttpMessage message = std::move(connection.reader.message());
-    connection.reader.restart();
-    if (message.second == "200") {
+    connection.reader.reset();
+    if (message.target_or_status == "200") {
       tally_.answered += 1;
       tally_.whole += message.body.find("\"entire\":true") != std::string::npos ? 1 : 0;
       latencies_.add(loop_.now() - connection.request->due);
-    } else if (message.second == "429" || message.second == "503") {
+    } else if (message.target_or_status == "429" || message.target_or_status == "503") {
       tally_.pushed_back += 1;
     } else {
       tally_.failed += 1;
@@ -153,7 +153,7 @@
     if (connection.limit) loop_.cancel(*connection.limit);
     connection.limit.reset();
     --out_;
-    if (!message.stays()) {
+    if (!message.keeps_alive()) {
       connection.stream->close();
       return drop(connection);
     }
@@ -174,7 +174,7 @@
 // A kept connection that ends without a word may have crossed with the request: whoever sent one that may be
 // repeated sends it once more, on another connection (RFC 9112, 9.3.1).
 void Load::ended(Connection& connection) {
-  const bool crossed = connection.request && connection.used && !connection.reader.begun() &&
+  const bool crossed = connection.request && connection.used && !connection.reader.has_started() &&
                        options_.may_repeat && !connection.request->again;
   if (!crossed) {
     if (connection.request) tally_.cut += 1;
@@ -184,7 +184,7 @@
   request.again = true;
   tally_.sent_again += 1;
   drop(connection);
-  loop_.at(loop_.now(), [this, request] { send(request); });
+  loop_.call_at(loop_.now(), [this, request] { send(request); });
 }
 
 void Load::drop(Connection& connection) {
@@ -199,7 +199,7 @@
   if (waiting_.empty()) return;
   Request request = std::move(waiting_.front());
   waiting_.pop_front();
-  loop_.at(loop_.now(), [this, request] { send(request); });
+  loop_.call_at(loop_.now(), [this, request] { send(request); });
 }
 
 std::string Load::result() const {
--- a/src/z3950/front.cpp
+++ b/src/z3950/front.cpp
@@ -184,9 +184,9 @@
       most_(most),
       listener_(std::make_unique<net::Listener>(
           loop, listen,
-          net::Listener::Told{[this] { return associations_.size() < most_ || make_room(); },
-                              [this] { return make_room(); },
-                              [this](net::Descriptor fd) { came(std::move(fd)); }})) {
+          net::Listener::Callbacks{[this] { return associations_.size() < most_ || make_room(); },
+                                   [this] { return make_room(); },
+                                   [this](net::Descriptor fd) { came(std::move(fd)); }})) {
   sweep();
 }
 
@@ -203,23 +203,23 @@
   associations_.emplace(at->number, std::move(made));
   at->stream = std::make_unique<net::Stream>(
       loop_, std::move(fd), true, desk_.limits().message, kMostOut,
-      net::Stream::Told{nullptr, [this, at] { arrived(*at); }, [this, at] { drained(*at); },
-                        [this, at](bool) { close(*at); }});
+      net::Stream::Callbacks{nullptr, [this, at] { arrived(*at); }, [this, at] { drained(*at); },
+                             [this, at](bool) { close(*at); }});
 }
 
 // One operation after the other, but where more were agreed upon; and none for a client that does not read.
 bool Front::may_go_on(const Association& at) const {
-  if (at.stream->closed() || at.parting) return false;
+  if (at.stream->is_closed() || at.parting) return false;
   if (at.stream->out().size() > kEnoughOut) return false;
   return at.waiting.size() < (at.concurrent ? desk_.limits().operations : 1);
 }
 
 void Front::arrived(Association& at) {
-  net::Ring& in = at.stream->in();
+  net::RingBuffer& in = at.stream->in();
   if (at.parting) return in.clear();
   if (!at.held.empty() && may_go_on(at)) {
     message(at, std::exchange(at.held, {}));
-    if (at.stream->closed() || at.parting) return;
+    if (at.stream->is_closed() || at.parting) return;
   }
   // One message is read ahead of its turn, so that a cancel or a close gets through while an operation is
   // out.
@@ -228,7 +228,7 @@
     const std::string_view bytes = in.front();
     const std::size_t used = at.scanner.take(bytes);
     at.bytes.append(bytes.substr(0, used));
-    in.drop(used);
+    in.consume(used);
     if (at.scanner.state() == BerScanner::State::bad) {
       tally_.malformed += 1;
       return end(at, Z_Close_protocolError, at.scanner.complaint());
@@ -241,18 +241,18 @@
       return;
     }
     message(at, whole);
-    if (at.stream->closed() || at.parting) return;
+    if (at.stream->is_closed() || at.parting) return;
   }
 }
 
 // What waited until an operation was done, or until the client had read; after everyone else's turn.
 void Front::read_on(Association& at) {
-  loop_.at(loop_.now(), [this, number = at.number, there = std::weak_ptr(there_)] {
+  loop_.call_at(loop_.now(), [this, number = at.number, there = std::weak_ptr(there_)] {
     if (there.expired()) return;
     const auto found = associations_.find(number);
     if (found == associations_.end()) return;
     arrived(*found->second);
-    if (!found->second->stream->closed()) found->second->stream->read_on();
+    if (!found->second->stream->is_closed()) found->second->stream->resume_reading();
   });
 }
 
@@ -344,7 +344,7 @@
   }
   put(at, *out);
   // An Init that is turned down ends the association, and the client may come again.
-  if (!session && !at.stream->closed()) {
+  if (!session && !at.stream->is_closed()) {
     at.parting = true;
     drained(at);
   }
@@ -571,7 +571,7 @@
     default:
       answer_sort(at, waiting, reply);
   }
-  if (at.stream->closed() || at.parting) return;
+  if (at.stream->is_closed() || at.parting) return;
   if (parting_ && at.waiting.empty()) return end(at, Z_Close_shutdown, "this gatherer stops");
   read_on(at);
 }
@@ -670,7 +670,7 @@
     segment.segmentRecords = list.records;
     tally_.segments += 1;
     put(at, *out);
-    if (at.stream->closed()) return;
+    if (at.stream->is_closed()) return;
     from = next;
   }
   const Odr odr = make_odr(ODR_ENCODE);
@@ -762,7 +762,7 @@
   const std::string bytes = encoded(make_odr(ODR_ENCODE).get(), &apdu);
   if (!must_hold(!bytes.empty(), "an APDU of ours can be encoded")) return close(at);
   // What does not fit is not sent in part: the association ends, and the client can tell.
-  if (!at.stream->out().put(bytes)) return close(at);
+  if (!at.stream->out().append(bytes)) return close(at);
   at.since = loop_.now();
   at.stream->flush();
 }
@@ -775,15 +775,15 @@
   out->u.close->diagnosticInformation = odr_strdup(odr.get(), why);
   at.parting = true;
   put(at, *out);
-  if (!at.stream->closed() && at.stream->out().empty()) drained(at);
+  if (!at.stream->is_closed() && at.stream->out().empty()) drained(at);
 }
 
 void Front::drained(Association& at) {
   at.since = loop_.now();
   if (!at.parting) return read_on(at);
   at.stream->in().clear();
-  at.stream->finish();
-  at.stream->read_on();
+  at.stream->shutdown_write();
+  at.stream->resume_reading();
 }
 
 void Front::close(Association& at) {
@@ -797,7 +797,7 @@
   }
   graves_.push_back(std::move(found->second));
   associations_.erase(found);
-  if (listener_) listener_->again();
+  if (listener_) listener_->resume();
   pump();
 }
 
@@ -827,7 +827,7 @@
   for (Association* at : unended) end(*at, Z_Close_protocolError, "the message does not end");
   for (Association* at : unread) close(*at);
   for (Association* at : over) close(*at);
-  swept_ = loop_.at(now + kSweep, [this] { sweep(); });
+  swept_ = loop_.call_at(now + kSweep, [this] { sweep(); });
 }
 
 // Who has said nothing first, then whoever has been idle longest: an idle session can be opened again.
--- a/src/z3950/talk.cpp
+++ b/src/z3950/talk.cpp
@@ -12,7 +12,7 @@
 
 namespace marbledyke::z3950 {
 
-using carrier::Said;
+using carrier::SessionEvent;
 
 namespace {
 
@@ -73,12 +73,12 @@
 
 }  // namespace
 
-std::unique_ptr<carrier::Talk> make_talk(const std::string&, const std::string& database,
-                                         const std::string&) {
+std::unique_ptr<carrier::ProtocolSession> make_talk(const std::string&, const std::string& database,
+                                                    const std::string&) {
   return std::make_unique<Talk>(database);
 }
 
-std::string Talk::hello() {
+std::string Talk::greeting() {
   const Odr odr = make_odr(ODR_ENCODE);
   Z_APDU* const out = zget_APDU(odr.get(), Z_APDU_initRequest);
   Z_InitRequest& request = *out->u.initRequest;
@@ -92,7 +92,7 @@
   return encoded(odr.get(), out);
 }
 
-std::string Talk::ask(std::string_view text, int shard) {
+std::string Talk::format_request(std::string_view text, int shard) {
   auto ask = search::read_part_ask(text);
   declines_.clear();
   if (!ask || state_ != State::idle) return {};
@@ -153,7 +153,7 @@
   return encoded(odr.get(), out);
 }
 
-std::string Talk::declined() {
+std::string Talk::unsupported_reply() {
   if (declines_.empty()) return {};
   search::PartResult out;
   out.trouble = declines_;
@@ -161,31 +161,31 @@
   return search::text_of(out);
 }
 
-std::size_t Talk::take(std::string_view bytes, Said& said) {
+std::size_t Talk::feed(std::string_view bytes, SessionEvent& event) {
   const std::size_t used = scanner_.take(bytes);
   bytes_.append(bytes.substr(0, used));
   if (scanner_.state() == BerScanner::State::bad) {
-    said.what = Said::What::broken;
-    said.why = scanner_.complaint();
+    event.kind = SessionEvent::Kind::protocol_error;
+    event.reason = scanner_.complaint();
   } else if (scanner_.state() == BerScanner::State::done) {
     scanner_.restart();
     std::string whole = std::exchange(bytes_, {});
-    said = message(whole);
+    event = message(whole);
   }
   return used;
 }
 
-Said Talk::message(std::string& bytes) {
-  Said out;
+SessionEvent Talk::message(std::string& bytes) {
+  SessionEvent out;
   const auto failed = [&](std::string why) {
     state_ = State::idle;
-    out.what = Said::What::failed;
-    out.why = std::move(why);
+    out.kind = SessionEvent::Kind::failed;
+    out.reason = std::move(why);
     return out;
   };
   const auto answered = [&] {
     state_ = State::idle;
-    out.what = Said::What::answered;
+    out.kind = SessionEvent::Kind::answered;
     out.value = search::text_of(result_);
     return out;
   };
@@ -199,13 +199,13 @@
   odr_setbuf(odr.get(), bytes.data(), static_cast<int>(bytes.size()), 0);
   Z_APDU* apdu = nullptr;
   if (z_APDU(odr.get(), &apdu, 0, nullptr) == 0 || apdu == nullptr) {
-    out.what = Said::What::broken;
-    out.why = "a message that cannot be decoded";
+    out.kind = SessionEvent::Kind::protocol_error;
+    out.reason = "a message that cannot be decoded";
     return out;
   }
   if (apdu->which == Z_APDU_close) {
-    out.what = Said::What::leaving;
-    out.why = "close, reason " + std::to_string(*apdu->u.close->closeReason);
+    out.kind = SessionEvent::Kind::server_closing;
+    out.reason = "close, reason " + std::to_string(*apdu->u.close->closeReason);
     return out;
   }
   // What answers an operation that was given up is dropped.
@@ -213,7 +213,7 @@
       (apdu->which == Z_APDU_searchResponse || apdu->which == Z_APDU_presentResponse ||
        apdu->which == Z_APDU_scanResponse)) {
     state_ = State::idle;
-    out.what = Said::What::ready;
+    out.kind = SessionEvent::Kind::ready;
     return out;
   }
   if (apdu->which == Z_APDU_segmentRequest && (state_ == State::presenting || state_ == State::cancelling)) {
@@ -222,14 +222,14 @@
   if (state_ == State::greeting && apdu->which == Z_APDU_initResponse) {
     const Z_InitResponse& response = *apdu->u.initResponse;
     if (*response.result == 0) {
-      out.what = Said::What::leaving;
-      out.why = "the Init was turned down";
+      out.kind = SessionEvent::Kind::server_closing;
+      out.reason = "the Init was turned down";
       return out;
     }
     cancels_ = ODR_MASK_GET(response.options, Z_Options_triggerResourceCtrl) != 0;
     scans_ = ODR_MASK_GET(response.options, Z_Options_scan) != 0;
     state_ = State::idle;
-    out.what = Said::What::ready;
+    out.kind = SessionEvent::Kind::ready;
     return out;
   }
   if (state_ == State::searching && apdu->which == Z_APDU_searchResponse) {
@@ -279,12 +279,12 @@
     }
     return answered();
   }
-  out.what = Said::What::broken;
-  out.why = "a message that was not due";
+  out.kind = SessionEvent::Kind::protocol_error;
+  out.reason = "a message that was not due";
   return out;
 }
 
-std::string Talk::cancel() {
+std::string Talk::format_cancel() {
   if (!cancels_ || state_ == State::greeting || state_ == State::idle) return {};
   const Odr odr = make_odr(ODR_ENCODE);
   Z_APDU* const out = zget_APDU(odr.get(), Z_APDU_triggerResourceControlRequest);
@@ -294,7 +294,7 @@
   return encoded(odr.get(), out);
 }
 
-std::string Talk::goodbye() {
+std::string Talk::closing_bytes() {
   if (state_ == State::greeting) return {};
   const Odr odr = make_odr(ODR_ENCODE);
   Z_APDU* const out = zget_APDU(odr.get(), Z_APDU_close);
--- a/src/z3950/talk.h
+++ b/src/z3950/talk.h
@@ -2,29 +2,29 @@
 // come with it, a present; a cancel by trigger resource control where that was agreed upon.
 #pragma once
 
-#include "carrier/talk.h"
+#include "carrier/protocol_session.h"
 #include "search/part.h"
 #include "z3950/ber.h"
 
 namespace marbledyke::z3950 {
 
-class Talk final : public carrier::Talk {
+class Talk final : public carrier::ProtocolSession {
  public:
   explicit Talk(std::string database) : database_(std::move(database)), scanner_(1024 * 1024, 500) {}
 
-  std::string hello() override;
-  bool ready() const override { return state_ == State::idle; }
-  std::string ask(std::string_view text, int shard) override;
-  std::string declined() override;
-  std::string more() override { return std::exchange(more_, {}); }
-  std::size_t take(std::string_view bytes, carrier::Said& said) override;
-  std::string cancel() override;
-  std::string goodbye() override;
+  std::string greeting() override;
+  bool is_ready() const override { return state_ == State::idle; }
+  std::string format_request(std::string_view text, int shard) override;
+  std::string unsupported_reply() override;
+  std::string next_output() override { return std::exchange(more_, {}); }
+  std::size_t feed(std::string_view bytes, carrier::SessionEvent& event) override;
+  std::string format_cancel() override;
+  std::string closing_bytes() override;
 
  private:
   enum class State { greeting, idle, searching, presenting, scanning, cancelling };
 
-  carrier::Said message(std::string& bytes);
+  carrier::SessionEvent message(std::string& bytes);
 
   std::string database_;
   State state_ = State::greeting;
@@ -37,7 +37,7 @@
   search::PartResult result_;
 };
 
-std::unique_ptr<carrier::Talk> make_talk(const std::string& server, const std::string& database,
-                                         const std::string& host);
+std::unique_ptr<carrier::ProtocolSession> make_talk(const std::string& server, const std::string& database,
+                                                    const std::string& host);
 
 }  // namespace marbledyke::z3950
--- a/tests/address_rig.cpp
+++ b/tests/address_rig.cpp
@@ -11,12 +11,12 @@
 #include <set>
 
 #include "log/log.h"
-#include "servers/servers.h"
+#include "servers/shard_server_pool.h"
 #include "standins/leaf.h"
 
 using namespace marbledyke;
 using namespace std::chrono_literals;
-using addresses::Book;
+using addresses::AddressBook;
 using net::Family;
 using standins::Door;
 using standins::Leaf;
@@ -53,7 +53,7 @@
         servers(loop, carriage_, seed, [] { return false; }),
         leaf(loop, options, seed) {
     loop.read_clock();
-    addresses::Rules rules;
+    addresses::ConnectSettings rules;
     rules.attempt = carriage_.connect_timeout;
     rules.hold = 200ms;
     rules.hold_most = 2s;
@@ -62,30 +62,30 @@
 
   void list(const std::string& server, std::vector<net::Address> addresses,
             Standing standing = Standing::up) {
-    list::News news;
-    list::Entry entry;
+    list::ListUpdate news;
+    list::ServerEntry entry;
     entry.row.server = server;
     entry.row.standing = standing;
     entry.addresses = std::move(addresses);
     news.entries.push_back(std::move(entry));
-    servers.listed(news);
+    servers.apply_list_update(news);
   }
 
-  servers::Errand errand_of(bool once, std::size_t size, Duration patience) {
-    servers::Errand errand;
+  servers::SendRequest errand_of(bool once, std::size_t size, Duration patience) {
+    servers::SendRequest errand;
     char digits[17];
     std::snprintf(digits, sizeof digits, "%016llx", static_cast<unsigned long long>(++number));
     std::copy_n(digits, 16, errand.part.text.begin());
     errand.id = digits;
-    errand.once = once;
+    errand.non_retriable = once;
     errand.text = std::make_shared<const std::string>(size, 'x');
-    errand.pulled = loop.now();
-    errand.not_past = loop.now() + patience;
+    errand.issued_at = loop.now();
+    errand.deadline = loop.now() + patience;
     return errand;
   }
 
   Rid send(const std::string& server, bool once, std::size_t size = 8, Duration patience = 3s) {
-    servers::Errand errand = errand_of(once, size, patience);
+    servers::SendRequest errand = errand_of(once, size, patience);
     const Rid part = errand.part;
     servers.call(server, {std::move(errand)});
     return part;
@@ -93,7 +93,7 @@
 
   // Sixteen parts of 64 KiB in one call: a frame that fits no buffer on its way.
   void send_large(const std::string& server, std::vector<Rid>& parts, Duration patience) {
-    std::vector<servers::Errand> call;
+    std::vector<servers::SendRequest> call;
     for (int i = 0; i < 16; ++i) {
       call.push_back(errand_of(true, 64 * 1024, patience));
       parts.push_back(call.back().part);
@@ -102,20 +102,20 @@
   }
 
   // Until that part has its fate.
-  servers::Ended wait(const Rid& part) {
+  servers::SendResult wait(const Rid& part) {
     for (;;) {
-      for (servers::Ended& ended : servers.ended) {
+      for (servers::SendResult& ended : servers.finished_sends) {
         if (ended.part != part) continue;
-        servers::Ended out = std::move(ended);
-        servers.ended.clear();
+        servers::SendResult out = std::move(ended);
+        servers.finished_sends.clear();
         return out;
       }
       turn();
     }
   }
   void turn(Duration most = 5ms) {
-    loop.at(loop.now() + most, [] {});
-    loop.gather();
+    loop.call_at(loop.now() + most, [] {});
+    loop.run_once();
     ++turns;
   }
   void pass(Duration time) {
@@ -124,7 +124,7 @@
 
   net::Loop loop;
   config::Carriage carriage_;
-  servers::Servers servers;
+  servers::ShardServerPool servers;
   Leaf leaf;
   std::uint64_t number = 0;
   long turns = 0;
@@ -153,7 +153,7 @@
     before(rig);
     const Rid part = rig.send("A", true, size, 700ms);
     if (during) during(rig);
-    const servers::Ended ended = rig.wait(part);
+    const servers::SendResult ended = rig.wait(part);
     rig.pass(20ms);
     std::printf("%s%s: %s, ran %d times\n", what, sole ? ", its only address" : "", name_of(ended.fate),
                 rig.leaf.runs(id_of(part)));
@@ -206,7 +206,8 @@
     rig.send_large("A", parts, 3s);
     partly(rig);
     int never = 0, ran = 0;
-    for (const servers::Ended& ended : rig.servers.ended) never += ended.fate == Fate::dial_failed ? 1 : 0;
+    for (const servers::SendResult& ended : rig.servers.finished_sends)
+      never += ended.fate == Fate::dial_failed ? 1 : 0;
     for (const Rid& part : parts) ran += rig.leaf.runs(id_of(part));
     std::printf(
         "a frame of 1 MB partly in the kernel's buffer, then a reset: %d of 16 not connected, ran %d times\n",
@@ -225,20 +226,20 @@
     rig.send_large("A", parts, 300ms);
     rig.pass(400ms);
     std::size_t told = 0;
-    for (const servers::Ended& ended : std::exchange(rig.servers.ended, {}))
+    for (const servers::SendResult& ended : std::exchange(rig.servers.finished_sends, {}))
       told += ended.fate == Fate::expired ? 1 : 0;
     rig.leaf.set(0, Door::open);
-    const servers::Ended next = rig.wait(rig.send("A", true));
+    const servers::SendResult next = rig.wait(rig.send("A", true));
     rig.leaf.set(0, Door::stalls);
     rig.send_large("A", parts, 300ms);
     rig.pass(20ms);
-    list::News none;
-    none.whole = true;
-    rig.servers.listed(none);
+    list::ListUpdate none;
+    none.is_snapshot = true;
+    rig.servers.apply_list_update(none);
     rig.pass(400ms);
     std::printf(
         "a frame of 1 MB that is never taken whole: %zu of 16 expired, the next part %s, left over %zu\n",
-        told, name_of(next.fate), rig.servers.connections());
+        told, name_of(next.fate), rig.servers.connection_count());
   }
   one("a loser of the race comes up late", doors(Door::hangs, Door::hangs), false, 8, [](Rig& rig) {
     rig.pass(215ms);
@@ -273,17 +274,17 @@
       if (both) rig.leaf.set(1, how);
       rig.list("A", doors);
       const Rid first = rig.send("A", true);
-      const servers::Ended ended = rig.wait(first);
+      const servers::SendResult ended = rig.wait(first);
       rig.leaf.cut_all();
       rig.pass(5ms);
       const auto begun = Clock::now();
       const Rid second = rig.send("A", true);
-      const servers::Ended then = rig.wait(second);
+      const servers::SendResult then = rig.wait(second);
       const auto took = Clock::now() - begun;
       rig.leaf.set(0, Door::open);
       rig.leaf.set(1, Door::open);
       rig.pass(700ms);
-      const bool back = rig.servers.book().order("A").front() == doors[0];
+      const bool back = rig.servers.address_book().dial_order("A").front() == doors[0];
       std::printf("%s, %s: first %s%s, next %s%s; ran %d and %d times; preferred again: %s\n",
                   standins::name_of(how), both ? "two of three" : "one of three", name_of(ended.fate),
                   ended.elapsed < 300ms ? " within 300 ms" : " LATE", name_of(then.fate),
@@ -300,8 +301,8 @@
   bool clean() const {
     return doubled + ran_though_never + unanswered + after_drain + astray + twice_told == 0 && left_over == 0;
   }
-  addresses::Tally book;
-  servers::Tally tally;
+  addresses::Counters book;
+  servers::Counters tally;
 };
 
 // Four servers of three addresses, doors that change at random, a list that drains, moves and takes away
@@ -376,20 +377,20 @@
     }
     if (up.empty()) return void(part.done = true);
     part.server = up[draw(static_cast<std::uint32_t>(up.size()))];
-    servers::Errand errand;
+    servers::SendRequest errand;
     std::copy_n(id.begin(), 16, errand.part.text.begin());
     errand.send = part.sends++;
     errand.id = id;
-    errand.once = part.once;
+    errand.non_retriable = part.once;
     errand.text = std::make_shared<const std::string>(draw(20) == 0 ? 40'000 : 100, 'x');
-    errand.pulled = rig.loop.now();
-    errand.not_past = rig.loop.now() + (draw(4) == 0 ? 1500ms : 400ms);
+    errand.issued_at = rig.loop.now();
+    errand.deadline = rig.loop.now() + (draw(4) == 0 ? 1500ms : 400ms);
     part.open += 1;
     out.sends += 1;
     rig.servers.call(part.server, {std::move(errand)});
   };
   const auto heard = [&] {
-    for (const servers::Ended& ended : std::exchange(rig.servers.ended, {})) {
+    for (const servers::SendResult& ended : std::exchange(rig.servers.finished_sends, {})) {
       const std::string id(ended.part.view());
       Part& part = book.at(id);
       if (--part.open < 0) out.twice_told += 1;
@@ -472,7 +473,7 @@
       again.erase(again.begin() + static_cast<std::ptrdiff_t>(i));
       send(id);
     }
-    out.most_sockets = std::max(out.most_sockets, rig.servers.sockets());
+    out.most_sockets = std::max(out.most_sockets, rig.servers.socket_count());
     rig.turn(made < parts ? std::max(Duration(100), next - now) : Duration(5ms));
     heard();
     if (made < parts) continue;
@@ -491,14 +492,14 @@
     if (!part.done || part.open != 0) out.unanswered += 1;
   }
   out.parts = made;
-  out.book = rig.servers.book().tally();
-  out.tally = rig.servers.tally();
+  out.book = rig.servers.address_book().counters();
+  out.tally = rig.servers.counters();
   // All servers go: nothing may be left.
-  list::News none;
-  none.whole = true;
-  rig.servers.listed(none);
+  list::ListUpdate none;
+  none.is_snapshot = true;
+  rig.servers.apply_list_update(none);
   rig.pass(400ms);
-  out.left_over = rig.servers.connections() + rig.servers.book().racing();
+  out.left_over = rig.servers.connection_count() + rig.servers.address_book().race_count();
   return out;
 }
 
@@ -572,14 +573,14 @@
     for (int i = 0; i < 100; ++i) {
       const std::string server = "A" + std::to_string(i);
       // One server a time has the addresses: they are nobody else's.
-      list::News news;
-      news.whole = true;
-      servers::Errand unused;
-      list::Entry entry;
+      list::ListUpdate news;
+      news.is_snapshot = true;
+      servers::SendRequest unused;
+      list::ServerEntry entry;
       entry.row.server = server;
       entry.addresses = order;
       news.entries.push_back(entry);
-      rig.servers.listed(news);
+      rig.servers.apply_list_update(news);
       for (int k = 0; k < 6; ++k) {
         const auto begun = Clock::now();
         rig.wait(rig.send(server, true));
--- a/tests/address_traces.cpp
+++ b/tests/address_traces.cpp
@@ -5,7 +5,7 @@
 #include <memory>
 #include <random>
 
-#include "addresses/book.h"
+#include "addresses/address_book.h"
 
 using namespace marbledyke;
 using namespace marbledyke::addresses;
@@ -27,78 +27,78 @@
   struct Act {
     Address to;
     Duration after;
-    End end;
+    AttemptOutcome end;
   };
 
-  Race(Book& its_book, const std::string& its_server, Duration its_now)
-      : book(its_book), server(its_server), now(its_now), id(book.begin(server, now)) {}
-  ~Race() { book.over(id); }
+  Race(AddressBook& its_book, const std::string& its_server, Duration its_now)
+      : book(its_book), server(its_server), now(its_now), id(book.begin_race(server, now)) {}
+  ~Race() { book.end_race(id); }
 
   // Lets the race run to its end; gives whether it was won.
   bool run(std::vector<Act> acts) {
     struct Out {
       Duration when;
       int attempt;
-      End end;
+      AttemptOutcome end;
     };
     std::vector<Out> outs;
     for (;;) {
-      const Step step = book.next(id, now);
-      if (step.what == Step::What::dial) {
-        say(now, "dial " + step.to.text() + (step.prove ? ", to prove itself" : ""));
+      const RaceStep step = book.next_step(id, now);
+      if (step.action == RaceStep::Action::dial) {
+        say(now, "dial " + step.to.text() + (step.needs_proof ? ", to prove itself" : ""));
         for (const Act& act : acts) {
           if (act.to == step.to) outs.push_back({now + act.after, step.attempt, act.end});
         }
-      } else if (step.what == Step::What::abandon) {
+      } else if (step.action == RaceStep::Action::abandon) {
         say(now, "abandon attempt " + std::to_string(step.attempt));
         std::erase_if(outs, [&](const Out& out) { return out.attempt == step.attempt; });
-      } else if (step.what == Step::What::lost) {
+      } else if (step.action == RaceStep::Action::lost) {
         say(now, "lost");
         return false;
       } else {
         auto next = outs.end();
         for (auto one = outs.begin(); one != outs.end(); ++one) {
-          if (one->when <= step.until && (next == outs.end() || one->when < next->when)) next = one;
+          if (one->when <= step.wait_until && (next == outs.end() || one->when < next->when)) next = one;
         }
         if (next == outs.end()) {
-          now = step.until;
+          now = step.wait_until;
           continue;
         }
         now = next->when;
         const Out out = *next;
         outs.erase(next);
         say(now, "attempt " + std::to_string(out.attempt) + ": " + std::string(name_of(out.end)));
-        book.ended(id, out.attempt, out.end, now);
-        if (out.end == End::came_up) return true;
+        book.on_attempt_ended(id, out.attempt, out.end, now);
+        if (out.end == AttemptOutcome::connected) return true;
       }
     }
   }
 
-  Book& book;
+  AddressBook& book;
   std::string server;
   Duration now;
-  Book::RaceId id;
+  AddressBook::RaceId id;
 };
 
-std::unique_ptr<Book> book_of(const Rules& rules = {}) {
-  auto book = std::make_unique<Book>(rules, 7);
-  book->news_opens(true);
-  book->listed("A", true, kAll);
-  book->news_closes();
+std::unique_ptr<AddressBook> book_of(const ConnectSettings& rules = {}) {
+  auto book = std::make_unique<AddressBook>(rules, 7);
+  book->begin_update(true);
+  book->update_server("A", true, kAll);
+  book->finish_update();
   return book;
 }
 
-void state(const Book& book, Duration now) { say(now, "A: " + book.describe("A", now)); }
+void state(const AddressBook& book, Duration now) { say(now, "A: " + book.describe("A", now)); }
 
 // Preferred family first, in the list's order within one; the first to come up wins.
 void preference() {
   const auto book = book_of();
-  Race(*book, "A", 0ms).run({{kLocal, 1ms, End::came_up}});
+  Race(*book, "A", 0ms).run({{kLocal, 1ms, AttemptOutcome::connected}});
   state(*book, 1ms);
-  Rules rules;
+  ConnectSettings rules;
   rules.prefer = {Family::ip4};
   const auto other = book_of(rules);
-  other->listed("A", true, {kSix, kLocal, at("10.0.0.2:90"), kFour});
+  other->update_server("A", true, {kSix, kLocal, at("10.0.0.2:90"), kFour});
   state(*other, 0ms);
 }
 
@@ -106,19 +106,19 @@
 // beside the parts, and is preferred again once it answers.
 void hangs() {
   const auto book = book_of();
-  Race(*book, "A", 0ms).run({{kSix, 2ms, End::came_up}});
+  Race(*book, "A", 0ms).run({{kSix, 2ms, AttemptOutcome::connected}});
   state(*book, 102ms);
-  Race(*book, "A", 200ms).run({{kSix, 2ms, End::came_up}});
+  Race(*book, "A", 200ms).run({{kSix, 2ms, AttemptOutcome::connected}});
   say(200ms, "trial wanted: " + std::to_string(book->next_trial(200ms).has_value()));
-  const Duration due = *book->next_trial_at();
+  const Duration due = *book->next_trial_time();
   say(due, "a trial is due");
   const Trial first = *book->next_trial(due);
   say(due, "trial of " + first.to.text() + ", within " + std::to_string(first.limit / 1ms) + " ms");
-  book->trial_ended(first, End::hung, first.limit, due + first.limit);
+  book->on_trial_ended(first, AttemptOutcome::timed_out, first.limit, due + first.limit);
   state(*book, due + first.limit);
-  const Duration again = *book->next_trial_at();
+  const Duration again = *book->next_trial_time();
   const Trial second = *book->next_trial(again);
-  book->trial_ended(second, End::came_up, 1ms, again + 1ms);
+  book->on_trial_ended(second, AttemptOutcome::connected, 1ms, again + 1ms);
   state(*book, again + 1ms);
 }
 
@@ -127,66 +127,69 @@
 void refused() {
   const auto book = book_of();
   Race(*book, "A", 0ms)
-      .run({{kLocal, 0ms, End::refused}, {kSix, 3ms, End::refused}, {kFour, 5ms, End::refused}});
+      .run({{kLocal, 0ms, AttemptOutcome::refused},
+            {kSix, 3ms, AttemptOutcome::refused},
+            {kFour, 5ms, AttemptOutcome::refused}});
   state(*book, 8ms);
-  Race(*book, "A", 20ms).run({{kSix, 1ms, End::came_up}});
+  Race(*book, "A", 20ms).run({{kSix, 1ms, AttemptOutcome::connected}});
   state(*book, 31ms);
 }
 
 // Everything hangs: attempts are bounded each and together, at most three at once, and the race has its
 // limit.
 void all_hang() {
-  Rules rules;
+  ConnectSettings rules;
   rules.attempt = 600ms;
   const auto book = book_of(rules);
   std::vector<Address> many;
   for (int i = 1; i <= 12; ++i) many.push_back(at("10.0.0." + std::to_string(i) + ":90"));
-  book->listed("A", true, many);
+  book->update_server("A", true, many);
   Race(*book, "A", 0ms).run({});
-  say(1000ms, "addresses kept: " + std::to_string(book->order("A").size()));
+  say(1000ms, "addresses kept: " + std::to_string(book->dial_order("A").size()));
 }
 
 // It accepts and resets, or accepts and keeps silent: neither wins, since a fresh address has to speak first.
 void proves() {
   const auto book = book_of();
-  Race(*book, "A", 0ms).run({{kLocal, 0ms, End::reset_early}, {kFour, 4ms, End::came_up}});
+  Race(*book, "A", 0ms)
+      .run({{kLocal, 0ms, AttemptOutcome::reset_early}, {kFour, 4ms, AttemptOutcome::connected}});
   state(*book, 104ms);
-  for (const Prove prove : {Prove::never, Prove::always}) {
-    Rules rules;
+  for (const ProofPolicy prove : {ProofPolicy::never, ProofPolicy::always}) {
+    ConnectSettings rules;
     rules.prove = prove;
     const auto other = book_of(rules);
-    other->spoke("A", kLocal);
-    Race(*other, "A", 0ms).run({{kLocal, 1ms, End::came_up}});
+    other->on_response("A", kLocal);
+    Race(*other, "A", 0ms).run({{kLocal, 1ms, AttemptOutcome::connected}});
   }
 }
 
 // An address that comes and goes is left alone for longer each time, up to the most; quiet times forgive.
 void flaps() {
-  Rules rules;
+  ConnectSettings rules;
   rules.hold_most = 8s;
   const auto book = book_of(rules);
   Duration now{};
   for (int i = 0; i < 6; ++i) {
-    book->spoke("A", kLocal);
-    book->failed("A", kLocal, End::reset_early, now);
+    book->on_response("A", kLocal);
+    book->on_connection_failed("A", kLocal, AttemptOutcome::reset_early, now);
     state(*book, now);
-    now = *book->next_trial_at();
-    book->trial_ended(*book->next_trial(now), End::came_up, 1ms, now);
+    now = *book->next_trial_time();
+    book->on_trial_ended(*book->next_trial(now), AttemptOutcome::connected, 1ms, now);
   }
   now += 20s;
-  book->failed("A", kLocal, End::silent, now);
+  book->on_connection_failed("A", kLocal, AttemptOutcome::unresponsive, now);
   state(*book, now);
 }
 
 // With one address there is nothing to choose: no proof, no doubt, no trial, and the attempt's limit is all.
 void sole() {
   const auto book = book_of();
-  book->listed("A", true, {kFour});
+  book->update_server("A", true, {kFour});
   Race(*book, "A", 0ms).run({});
-  Race(*book, "A", 300ms).run({{kFour, 1ms, End::refused}});
-  book->failed("A", kFour, End::reset_early, 400ms);
+  Race(*book, "A", 300ms).run({{kFour, 1ms, AttemptOutcome::refused}});
+  book->on_connection_failed("A", kFour, AttemptOutcome::reset_early, 400ms);
   state(*book, 400ms);
-  say(400ms, std::string("trial due: ") + (book->next_trial_at() ? "yes" : "no"));
+  say(400ms, std::string("trial due: ") + (book->next_trial_time() ? "yes" : "no"));
 }
 
 // Addresses that move: an address named for two servers is the newer claimant's; where both came at once it
@@ -197,24 +200,24 @@
     say(now, "A: " + book->describe("A", now));
     say(now, "B: " + book->describe("B", now));
   };
-  book->news_opens(false);
-  book->listed("B", true, {kSix, at("10.0.0.9:90")});
-  book->news_closes();
+  book->begin_update(false);
+  book->update_server("B", true, {kSix, at("10.0.0.9:90")});
+  book->finish_update();
   both(0ms);
-  book->news_opens(false);
-  book->gone("B");
-  book->news_closes();
+  book->begin_update(false);
+  book->remove_server("B");
+  book->finish_update();
   both(1ms);
-  Book fresh({}, 7);
-  fresh.news_opens(true);
-  fresh.listed("A", true, {kSix, kFour});
-  fresh.listed("B", true, {kSix, at("10.0.0.9:90")});
-  fresh.listed("C", true, {kSix});
-  fresh.news_closes();
+  AddressBook fresh({}, 7);
+  fresh.begin_update(true);
+  fresh.update_server("A", true, {kSix, kFour});
+  fresh.update_server("B", true, {kSix, at("10.0.0.9:90")});
+  fresh.update_server("C", true, {kSix});
+  fresh.finish_update();
   for (const char* name : {"A", "B", "C"}) say(2ms, std::string(name) + ": " + fresh.describe(name, 2ms));
-  fresh.news_opens(true);
-  fresh.listed("A", true, {kSix, kFour});
-  fresh.news_closes();
+  fresh.begin_update(true);
+  fresh.update_server("A", true, {kSix, kFour});
+  fresh.finish_update();
   for (const char* name : {"A", "B", "C"}) say(3ms, std::string(name) + ": " + fresh.describe(name, 3ms));
 }
 
@@ -222,23 +225,23 @@
 void taken_away() {
   const auto book = book_of();
   Race race(*book, "A", 0ms);
-  const Step first = book->next(race.id, 0ms);
+  const RaceStep first = book->next_step(race.id, 0ms);
   say(0ms, "dial " + first.to.text());
-  book->listed("A", true, {kFour});
-  say(0ms, std::string("its address is ") + (book->usable("A", first.to) ? "usable" : "not usable"));
-  book->ended(race.id, first.attempt, End::not_needed, 1ms);
+  book->update_server("A", true, {kFour});
+  say(0ms, std::string("its address is ") + (book->is_usable("A", first.to) ? "usable" : "not usable"));
+  book->on_attempt_ended(race.id, first.attempt, AttemptOutcome::not_needed, 1ms);
   race.now = 1ms;
-  race.run({{kFour, 2ms, End::came_up}});
+  race.run({{kFour, 2ms, AttemptOutcome::connected}});
   Race other(*book, "A", 10ms);
-  book->gone("A");
+  book->remove_server("A");
   other.run({});
 }
 
 // The operator's own addresses: beside the list's or in their place, taken and taken back while serving.
 void configured() {
   const auto book = book_of();
-  book->spoke("A", kSix);
-  book->failed("A", kFour, End::silent, 0ms);
+  book->on_response("A", kSix);
+  book->on_connection_failed("A", kFour, AttemptOutcome::unresponsive, 0ms);
   book->configure({}, {{"A", {false, {at("unix:@b"), kSix}}}, {"nobody", {true, {kLocal}}}});
   state(*book, 0ms);
   book->configure({}, {{"A", {true, {kFour}}}});
@@ -251,17 +254,19 @@
 void innocent() {
   const auto book = book_of();
   Race(*book, "A", 0ms)
-      .run({{kLocal, 0ms, End::no_room}, {kSix, 0ms, End::no_room}, {kFour, 0ms, End::no_room}});
+      .run({{kLocal, 0ms, AttemptOutcome::no_local_resources},
+            {kSix, 0ms, AttemptOutcome::no_local_resources},
+            {kFour, 0ms, AttemptOutcome::no_local_resources}});
   state(*book, 0ms);
-  book->failed("A", kLocal, End::silent, 0ms);
-  book->listed("A", false, kAll);
+  book->on_connection_failed("A", kLocal, AttemptOutcome::unresponsive, 0ms);
+  book->update_server("A", false, kAll);
   say(2s, std::string("trial while it drains: ") + (book->next_trial(2s) ? "yes" : "no"));
-  book->listed("A", true, kAll);
-  const Duration due = *book->next_trial_at();
+  book->update_server("A", true, kAll);
+  const Duration due = *book->next_trial_time();
   const Trial trial = *book->next_trial(due);
   say(due, "trial of " + trial.to.text());
-  book->listed("A", true, {kSix, kFour});
-  book->trial_ended(trial, End::came_up, 1ms, due + 1ms);
+  book->update_server("A", true, {kSix, kFour});
+  book->on_trial_ended(trial, AttemptOutcome::connected, 1ms, due + 1ms);
   state(*book, due + 1ms);
 }
 
@@ -275,15 +280,15 @@
   for (std::uint32_t seed = 1; seed <= 40; ++seed) {
     std::mt19937 chance(seed);
     const auto draw = [&](std::uint32_t most) { return chance() % most; };
-    Rules rules;
+    ConnectSettings rules;
     rules.at_once = 1 + static_cast<int>(draw(3));
-    rules.prove = static_cast<Prove>(draw(3));
+    rules.prove = static_cast<ProofPolicy>(draw(3));
     rules.trials_at_once = 1 + static_cast<int>(draw(3));
-    Book book(rules, seed);
+    AddressBook book(rules, seed);
     std::vector<Address> pool = kAll;
     for (int i = 0; i < 6; ++i) pool.push_back(at("10.0.1." + std::to_string(i + 1) + ":90"));
     struct Open {
-      Book::RaceId id;
+      AddressBook::RaceId id;
       Duration begun;
       std::map<int, Address> out;
     };
@@ -298,48 +303,48 @@
       if (act < 8) {
         std::vector<Address> some;
         for (std::uint32_t k = 0; k < 1 + draw(5); ++k) some.push_back(pool[draw(9)]);
-        book.news_opens(draw(4) == 0);
-        book.listed(name, draw(5) > 0, some);
-        book.news_closes();
+        book.begin_update(draw(4) == 0);
+        book.update_server(name, draw(5) > 0, some);
+        book.finish_update();
       } else if (act < 10) {
-        book.news_opens(false);
-        book.gone(name);
-        book.news_closes();
+        book.begin_update(false);
+        book.remove_server(name);
+        book.finish_update();
       } else if (act < 12) {
         book.configure(rules, {{name, {draw(2) == 0, {pool[draw(9)], pool[draw(9)]}}}});
       } else if (act < 40 && open.size() < 5) {
-        open.push_back({book.begin(name, now), now, {}});
+        open.push_back({book.begin_race(name, now), now, {}});
       } else if (act < 70) {
         if (!open.empty()) {
           Open& race = open[draw(static_cast<std::uint32_t>(open.size()))];
           if (!race.out.empty()) {
             const auto [attempt, to] = *race.out.begin();
-            const End end = static_cast<End>(draw(7));
+            const AttemptOutcome end = static_cast<AttemptOutcome>(draw(7));
             race.out.erase(attempt);
-            book.ended(race.id, attempt, end, now);
-            if (end == End::came_up) {
+            book.on_attempt_ended(race.id, attempt, end, now);
+            if (end == AttemptOutcome::connected) {
               ++won;
-              book.over(race.id);
+              book.end_race(race.id);
               std::erase_if(open, [&](const Open& one) { return one.id == race.id; });
             }
           }
         }
       } else if (act < 80) {
-        const auto order = book.order(name);
+        const auto order = book.dial_order(name);
         if (!order.empty())
-          book.failed(name, order[draw(static_cast<std::uint32_t>(order.size()))], static_cast<End>(draw(7)),
-                      now);
+          book.on_connection_failed(name, order[draw(static_cast<std::uint32_t>(order.size()))],
+                                    static_cast<AttemptOutcome>(draw(7)), now);
       } else if (act < 85) {
-        const auto order = book.order(name);
-        if (!order.empty()) book.spoke(name, order.front());
+        const auto order = book.dial_order(name);
+        if (!order.empty()) book.on_response(name, order.front());
       } else if (act < 92) {
         while (const auto trial = book.next_trial(now)) {
-          must(book.usable(trial->server, trial->to), "a trial goes to a usable address");
+          must(book.is_usable(trial->server, trial->to), "a trial goes to a usable address");
           on_trial.push_back(*trial);
           ++trials;
         }
       } else if (!on_trial.empty()) {
-        book.trial_ended(on_trial.back(), static_cast<End>(draw(7)), 1ms, now);
+        book.on_trial_ended(on_trial.back(), static_cast<AttemptOutcome>(draw(7)), 1ms, now);
         on_trial.pop_back();
       }
       must(static_cast<int>(on_trial.size()) <= rules.trials_at_once, "trials are bounded");
@@ -348,45 +353,45 @@
         bool over = false;
         for (int pulls = 0;; ++pulls) {
           must(pulls < 50, "a race comes to rest");
-          const Step step = book.next(race.id, now);
-          if (step.what == Step::What::dial) {
+          const RaceStep step = book.next_step(race.id, now);
+          if (step.action == RaceStep::Action::dial) {
             ++dials;
             must(race.out.size() < 3, "attempts at once are bounded");
             must(now < race.begun + rules.race, "nothing is dialled past a race's limit");
             race.out[step.attempt] = step.to;
-          } else if (step.what == Step::What::abandon) {
+          } else if (step.action == RaceStep::Action::abandon) {
             race.out.erase(step.attempt);
-          } else if (step.what == Step::What::lost) {
+          } else if (step.action == RaceStep::Action::lost) {
             over = true;
             break;
           } else {
-            must(step.until > now, "a wait lies ahead");
-            must(step.until <= race.begun + rules.race, "a wait ends with its race");
+            must(step.wait_until > now, "a wait lies ahead");
+            must(step.wait_until <= race.begun + rules.race, "a wait ends with its race");
             break;
           }
         }
         if (over) {
           ++lost;
-          book.over(race.id);
+          book.end_race(race.id);
           open.erase(open.begin() + static_cast<std::ptrdiff_t>(k));
         } else {
           ++k;
         }
       }
       for (const std::string& each : names) {
-        const auto order = book.order(each);
-        must(order.size() <= kMostAddresses, "addresses of a server are bounded");
-        for (const Address& one : order) must(book.usable(each, one), "what is ranked is usable");
+        const auto order = book.dial_order(each);
+        must(order.size() <= kMaxAddressesPerServer, "addresses of a server are bounded");
+        for (const Address& one : order) must(book.is_usable(each, one), "what is ranked is usable");
       }
     }
-    for (const Open& race : open) book.over(race.id);
+    for (const Open& race : open) book.end_race(race.id);
     while (!on_trial.empty()) {
-      book.trial_ended(on_trial.back(), End::not_needed, 1ms, now);
+      book.on_trial_ended(on_trial.back(), AttemptOutcome::not_needed, 1ms, now);
       on_trial.pop_back();
     }
-    book.news_opens(true);
-    book.news_closes();
-    must(book.servers() == 0 && book.racing() == 0 && !book.next_trial_at(),
+    book.begin_update(true);
+    book.finish_update();
+    must(book.server_count() == 0 && book.race_count() == 0 && !book.next_trial_time(),
          "nothing is kept of what is gone");
   }
   std::printf("%ld steps, %s dials, %s won, %s lost, %s trials; broken: %ld\n", steps,
@@ -406,7 +411,7 @@
       continue;
     }
     sockaddr_storage out;
-    const socklen_t size = read->put(out);
+    const socklen_t size = read->to_sockaddr(out);
     std::printf("%s: %s %s, %u bytes%s\n", text, std::string(name_of(read->family())).c_str(),
                 read->text().c_str(), size,
                 *net::parse_address(read->text()) == *read ? "" : ", NOT THE SAME");
--- a/tests/client_room_traces.cpp
+++ b/tests/client_room_traces.cpp
@@ -105,7 +105,7 @@
 
 // In this turn, after what has come in was read and before any of the gatherer's own timers.
 void before_timers(Scene& scene, const std::function<void()>& what) {
-  scene.gatherer.loop().at(Duration::min() / 2, what);
+  scene.gatherer.loop().call_at(Duration::min() / 2, what);
 }
 
 // Every place holds a request in hand when a planned stop ends its accepting, and others connect in that very
--- a/tests/control_rig.cpp
+++ b/tests/control_rig.cpp
@@ -204,9 +204,9 @@
     std::vector<std::unique_ptr<net::Stream>> callers;
     for (int i = 0; i < 40; ++i) {
       auto made = std::make_unique<net::Stream>(fleet.loop, net::start_connect(fleet.node(0)), false, 4096,
-                                                4096, net::Stream::Told{});
-      made->out().put("GET /v1/configuration?receiver=w" + std::to_string(i) +
-                      "&index=1&digest=x&wait=10000" + close + "\r\n");
+                                                4096, net::Stream::Callbacks{});
+      made->out().append("GET /v1/configuration?receiver=w" + std::to_string(i) +
+                         "&index=1&digest=x&wait=10000" + close + "\r\n");
       callers.push_back(std::move(made));
     }
     const auto waiting = [&] { return fleet.status(0).value("waiting", 0); };
@@ -231,12 +231,13 @@
 // Answers a receiver's calls with that text; or, without one, never.
 struct Liar {
   Liar(net::Loop& loop, const net::Address& at, std::optional<std::string> with)
-      : server(loop, at, {},
-               {[this, text = std::move(with)](net::JsonServer::Caller caller, const net::JsonRequest&) {
-                  asked += 1;
-                  if (text) server.answer(caller, {200, *text});
-                },
-                nullptr}) {}
+      : server(
+            loop, at, {},
+            {[this, text = std::move(with)](net::JsonServer::ConnectionId caller, const net::JsonRequest&) {
+               asked += 1;
+               if (text) server.send_reply(caller, {200, *text});
+             },
+             nullptr}) {}
   int asked = 0;
   net::JsonServer server;
 };
@@ -246,11 +247,11 @@
   loop.read_clock();
   const net::Address at = address(80);
   int asked = 0, left = 0;
-  net::JsonServer::Bounds bounds;
-  bounds.deferred = 300ms;
-  net::JsonServer server(loop, at, bounds,
-                         {[&](net::JsonServer::Caller, const net::JsonRequest&) { asked += 1; },
-                          [&](net::JsonServer::Caller) { left += 1; }});
+  net::JsonServer::Limits limits;
+  limits.reply_timeout = 300ms;
+  net::JsonServer server(loop, at, limits,
+                         {[&](net::JsonServer::ConnectionId, const net::JsonRequest&) { asked += 1; },
+                          [&](net::JsonServer::ConnectionId) { left += 1; }});
   const rig::Answer answer = rig::call(loop, at, "GET", "/", "", 2s);
   say("an owner who does not answer in time: 503, and it is told",
       answer.status == 503 && asked == 1 && left == 1);
--- a/tests/crossing_traces.cpp
+++ b/tests/crossing_traces.cpp
@@ -19,7 +19,7 @@
 
 // In this turn, after what has come in was read and before any of the gatherer's own timers.
 void before_timers(Scene& scene, const std::function<void()>& what) {
-  scene.gatherer.loop().at(Duration::min() / 2, what);
+  scene.gatherer.loop().call_at(Duration::min() / 2, what);
 }
 
 // A client sends much at once and goes, by a reset that comes after the first answer was written and before
@@ -385,11 +385,11 @@
     for (int i = 0; i < 2; ++i) fillers.push_back(net::start_connect(*net::parse_address(address(last))));
   }
   void empty() {
-    while (net::accept_from(listener.get())) {
+    while (net::accept_connection(listener.get())) {
     }
   }
   std::string heard() {
-    if (net::Descriptor fd = net::accept_from(listener.get())) wires.push_back({std::move(fd)});
+    if (net::Descriptor fd = net::accept_connection(listener.get())) wires.push_back({std::move(fd)});
     for (Wire& wire : wires) text += wire.take();
     return text;
   }
@@ -424,23 +424,24 @@
   const Scene scene(entry("A", 11));
   net::Loop loop;
   loop.read_clock();
-  servers::Servers servers(loop, scene.commission.carriage, 7, [] { return false; });
-  servers.listed(list::read_news(config::parse(list_of(5, entry("A", 11))), scene.commission.carriage, 0s));
-  std::vector<servers::Errand> errands(2);
-  for (servers::Errand& errand : errands) {
+  servers::ShardServerPool servers(loop, scene.commission.carriage, 7, [] { return false; });
+  servers.apply_list_update(
+      list::parse_list_update(config::parse(list_of(5, entry("A", 11))), scene.commission.carriage, 0s));
+  std::vector<servers::SendRequest> errands(2);
+  for (servers::SendRequest& errand : errands) {
     const bool first = &errand == &errands.front();
     errand.part.text.fill(first ? '1' : '2');
     errand.id = first ? "repeat.1" : "other.1";
     errand.text = std::make_shared<const std::string>("f00d");
-    errand.not_past = loop.now() + 10s;
-    if (first) errand.begun_by = loop.now() + 200ms;
+    errand.deadline = loop.now() + 10s;
+    if (first) errand.start_deadline = loop.now() + 200ms;
   }
   servers.call("A", std::move(errands));
   const auto until = [&](const std::function<bool()>& holds) {
     const auto end = std::chrono::steady_clock::now() + 10s;
     while (!holds() && std::chrono::steady_clock::now() < end) {
-      loop.at(loop.now() + 20ms, [] {});
-      loop.gather();
+      loop.call_at(loop.now() + 20ms, [] {});
+      loop.run_once();
     }
   };
   const Duration begun = loop.now();
@@ -449,7 +450,7 @@
   until([&] { return full.heard().find("other.1") != std::string::npos; });
   say(full.heard().find("other.1") != std::string::npos ? "the other part is written" : "NOTHING IS WRITTEN");
   say(full.heard().find("repeat.1") == std::string::npos ? "the repeat is not" : "THE REPEAT IS WRITTEN");
-  for (const servers::Ended& one : servers.ended)
+  for (const servers::SendResult& one : servers.finished_sends)
     say(one.fate == Fate::unused ? "it ends as never sent" : "IT ENDS OTHERWISE");
 }
 
@@ -494,7 +495,8 @@
   scene.gatherer.leave();  // SIGTERM twice
   // After what has come in was read and right behind the gatherer's own timer, in the turn that ends the
   // resting ones.
-  scene.gatherer.loop().at(scene.gatherer.loop().now() + 400ms, [&] { resting.send("m2", "issue", kOne); });
+  scene.gatherer.loop().call_at(scene.gatherer.loop().now() + 400ms,
+                                [&] { resting.send("m2", "issue", kOne); });
   scene.pass(300ms);
   Client fresh;
   scene.until("its end", [&] { return resting.wire.take().empty() && resting.wire.ended; });
@@ -577,7 +579,7 @@
   discovery.last->reset();
   discovery.fill();
   sockaddr_storage to{};
-  const socklen_t size = net::parse_address(address(1))->put(to);
+  const socklen_t size = net::parse_address(address(1))->to_sockaddr(to);
   for (const net::Descriptor& fd : late) {
     connect(fd.get(), reinterpret_cast<const sockaddr*>(&to), size);
     send(fd.get(), "GET /healthz HTTP/1.1\r\n\r\n", 25, MSG_NOSIGNAL);
--- a/tests/parser_traces.cpp
+++ b/tests/parser_traces.cpp
@@ -15,10 +15,10 @@
 
 #include "clients/ask.h"
 #include "config/commission.h"
-#include "list/news.h"
+#include "list/list_update.h"
 #include "net/http.h"
 #include "net/loop.h"
-#include "net/ring.h"
+#include "net/ring_buffer.h"
 #include "servers/frames.h"
 
 using namespace marbledyke;
@@ -58,32 +58,33 @@
   std::printf("%-22s %s; %s\n", name.c_str(), whole.c_str(), same.c_str());
 }
 
-std::string http(net::HttpReader::Kind kind, const std::vector<std::string>& pieces, bool closes) {
-  net::HttpReader reader(kind, 40);
+std::string http(net::HttpParser::Kind kind, const std::vector<std::string>& pieces, bool closes) {
+  net::HttpParser reader(kind, 40);
   std::string out;
   for (const std::string& piece : pieces) {
     std::string_view left = piece;
-    while (!left.empty() && reader.state() != net::HttpReader::State::bad) {
-      left.remove_prefix(reader.take(left));
-      if (reader.state() != net::HttpReader::State::done) continue;
+    while (!left.empty() && reader.state() != net::HttpParser::State::malformed) {
+      left.remove_prefix(reader.feed(left));
+      if (reader.state() != net::HttpParser::State::complete) continue;
       const net::HttpMessage& m = reader.message();
-      out += "[" + m.first + "|" + m.second + "|" + m.third;
+      out += "[" + m.method_or_version + "|" + m.target_or_status + "|" + m.version_or_reason;
       for (const auto& [key, value] : m.headers) out += "|" + key + "=" + value;
-      out += "|" + shown(m.body) + (m.stays() ? "|stays]" : "|closes]");
-      reader.restart();
+      out += "|" + shown(m.body) + (m.keeps_alive() ? "|stays]" : "|closes]");
+      reader.reset();
     }
   }
-  if (closes) reader.peer_closed();
-  if (reader.state() == net::HttpReader::State::done)
+  if (closes) reader.on_peer_closed();
+  if (reader.state() == net::HttpParser::State::complete)
     out += "[to the end|" + shown(reader.message().body) + "]";
-  if (reader.state() == net::HttpReader::State::bad) out += "bad " + std::to_string(reader.complaint());
+  if (reader.state() == net::HttpParser::State::malformed)
+    out += "bad " + std::to_string(reader.error_status());
   return out.empty() ? "nothing yet" : out;
 }
 
 void http_requests() {
   const auto sample = [](const char* name, const std::string& bytes) {
     at_every_split(name, bytes, [](const std::vector<std::string>& pieces) {
-      return http(net::HttpReader::Kind::request, pieces, false);
+      return http(net::HttpParser::Kind::request, pieces, false);
     });
   };
   sample("plain", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -108,18 +109,18 @@
   sample("folded line", "GET / HTTP/1.1\r\nA: b\r\n c\r\n\r\n");
   sample("bare CR", "GET / HTTP/1.1\r\nA: b\rc\r\n\r\n");
   sample("garbage", std::string("\x16\x03\x01\x02\x00\x01\n\n", 8));
-  net::HttpReader reader(net::HttpReader::Kind::request, 40);
+  net::HttpParser reader(net::HttpParser::Kind::request, 40);
   const std::string line = "A: " + std::string(997, 'a') + "\r\n";
-  reader.take("GET / HTTP/1.1\r\n");
+  reader.feed("GET / HTTP/1.1\r\n");
   int lines = 0;
-  for (; reader.state() == net::HttpReader::State::reading && lines < 100; ++lines) reader.take(line);
-  std::printf("%-22s bad %d at line %d\n", "endless head", reader.complaint(), lines);
+  for (; reader.state() == net::HttpParser::State::incomplete && lines < 100; ++lines) reader.feed(line);
+  std::printf("%-22s bad %d at line %d\n", "endless head", reader.error_status(), lines);
 }
 
 void http_answers() {
   const auto sample = [](const char* name, const std::string& bytes, bool closes = false) {
     at_every_split(name, bytes, [closes](const std::vector<std::string>& pieces) {
-      return http(net::HttpReader::Kind::answer, pieces, closes);
+      return http(net::HttpParser::Kind::response, pieces, closes);
     });
   };
   sample("counted", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}");
@@ -131,20 +132,20 @@
 }
 
 std::string frames_of(const std::vector<std::string>& pieces) {
-  servers::FrameReader reader;
+  servers::FrameParser reader;
   std::string out;
   for (const std::string& piece : pieces) {
     std::string_view left = piece;
-    while (!left.empty() && reader.state() != servers::FrameReader::State::bad) {
-      left.remove_prefix(reader.take(left));
-      if (reader.state() != servers::FrameReader::State::done) continue;
-      out += std::string("[") + reader.frame().letter + "|" + shown(reader.frame().rest) + "]";
-      if (const auto answer = servers::read_answer(reader.frame(), {"cpu", "rps"}))
-        out += answer->id + answer->end + shown(answer->value);
-      reader.restart();
+    while (!left.empty() && reader.state() != servers::FrameParser::State::malformed) {
+      left.remove_prefix(reader.feed(left));
+      if (reader.state() != servers::FrameParser::State::complete) continue;
+      out += std::string("[") + reader.frame().type + "|" + shown(reader.frame().payload) + "]";
+      if (const auto answer = servers::parse_part_answer(reader.frame(), {"cpu", "rps"}))
+        out += answer->id + answer->outcome + shown(answer->value);
+      reader.reset();
     }
   }
-  return out + (reader.state() == servers::FrameReader::State::bad ? "bad" : "");
+  return out + (reader.state() == servers::FrameParser::State::malformed ? "bad" : "");
 }
 
 void frames() {
@@ -153,8 +154,8 @@
   };
   std::string call;
   const std::size_t place = servers::begin_frame(call, '1');
-  servers::put_part(call, "9b1f03aa5c7e2d41.3", 3, "d=240", "c41e77d0");
-  servers::put_part(call, "9b1f03aa5c7e2d41.9", 9, "d=240", "c41e77d0");
+  servers::append_part(call, "9b1f03aa5c7e2d41.3", 3, "d=240", "c41e77d0");
+  servers::append_part(call, "9b1f03aa5c7e2d41.9", 9, "d=240", "c41e77d0");
   servers::end_frame(call, place);
   sample("a call", call);
   sample("three", std::string("\0\0\0\1"
@@ -174,13 +175,13 @@
 void answers() {
   const std::vector<std::string> fields{"util", "rps", "waiting"};
   const auto sample = [&](const std::string& rest) {
-    const auto a = servers::read_answer({'5', rest}, fields);
+    const auto a = servers::parse_part_answer({'5', rest}, fields);
     std::printf("%-60s ", shown(rest).c_str());
     if (!a) {
       std::printf("cannot be read\n");
       return;
     }
-    std::printf("%s %c %.0f '%s'", a->id.c_str(), a->end, a->score, shown(a->value).c_str());
+    std::printf("%s %c %.0f '%s'", a->id.c_str(), a->outcome, a->score, shown(a->value).c_str());
     if (a->report.count == 0) std::printf(", no report");
     for (int i = 0; i < a->report.count; ++i)
       std::printf(" %g", a->report.value[static_cast<std::size_t>(i)]);
@@ -282,10 +283,11 @@
 void news() {
   const auto read = [](const char* text) {
     try {
-      const list::News n = list::read_news(config::parse(text), carriage(), std::chrono::seconds(1000));
-      std::printf("version %lld%s, %d skipped", static_cast<long long>(n.index), n.whole ? ", whole" : "",
-                  n.skipped);
-      for (const list::Entry& e : n.entries) {
+      const list::ListUpdate n =
+          list::parse_list_update(config::parse(text), carriage(), std::chrono::seconds(1000));
+      std::printf("version %lld%s, %d skipped", static_cast<long long>(n.index),
+                  n.is_snapshot ? ", whole" : "", n.skipped_entries);
+      for (const list::ServerEntry& e : n.entries) {
         std::printf("; %s zone %d cell %d standing %d size %g started ", e.row.server.c_str(), e.row.zone,
                     e.row.cell, static_cast<int>(e.row.standing), e.row.size);
         e.row.started ? std::printf("%lld", static_cast<long long>(e.row.started->count()))
@@ -359,29 +361,29 @@
 }
 
 void rings() {
-  net::Ring ring(10'000);
+  net::RingBuffer ring(10'000);
   std::string sent, taken;
   std::size_t most = 0;
   unsigned turn = 1;
   for (int i = 0; i < 3000; ++i) {
     turn = turn * 1103515245 + 12345;
     const std::string piece((turn >> 16) % 700, static_cast<char>('a' + i % 26));
-    if (ring.put(piece)) sent += piece;
+    if (ring.append(piece)) sent += piece;
     most = std::max(most, ring.size());
     for (std::size_t left = (turn >> 8) % 750; left > 0 && !ring.empty();) {
       const std::string_view front = ring.front().substr(0, left);
       taken += front;
       left -= front.size();
-      ring.drop(front.size());
+      ring.consume(front.size());
     }
   }
   while (!ring.empty()) {
     taken += ring.front();
-    ring.drop(ring.front().size());
+    ring.consume(ring.front().size());
   }
   std::printf("%s, %s\n", sent == taken ? "all bytes in their order" : "BYTES DIFFER",
               most > 5000 && most <= 10'000 ? "within its bound" : "BOUND NOT KEPT OR NOT TRIED");
-  std::printf("too much is %s\n", ring.put(std::string(10'001, 'x')) ? "TAKEN" : "refused");
+  std::printf("too much is %s\n", ring.append(std::string(10'001, 'x')) ? "TAKEN" : "refused");
 }
 
 // Seeded damage: stretches cut out or repeated, bytes changed. Whatever comes, it is read alike however it is
@@ -435,16 +437,16 @@
   rounds("requests",
          "POST /a HTTP/1.1\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
          [](const std::vector<std::string>& pieces) {
-           return http(net::HttpReader::Kind::request, pieces, false);
+           return http(net::HttpParser::Kind::request, pieces, false);
          });
   rounds("chunks",
          "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\nGET / HTTP/1.1\r\n\r\n",
          [](const std::vector<std::string>& pieces) {
-           return http(net::HttpReader::Kind::request, pieces, false);
+           return http(net::HttpParser::Kind::request, pieces, false);
          });
   rounds("answers", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhelloHTTP/1.1 503 No\r\n\r\nand so on",
          [](const std::vector<std::string>& pieces) {
-           return http(net::HttpReader::Kind::answer, pieces, true);
+           return http(net::HttpParser::Kind::response, pieces, true);
          });
   std::string two;
   for (const char* text : {"9b1f.3 S 1840277719 util=0.61,qps=7\nvalue", "9b1f.4 B 0 -\n"}) {
@@ -467,7 +469,7 @@
       "news",
       R"({"index":4,"snapshot":true,"endpoints":[{"name":"A","address":"127.1.0.1:9000","zone":"a","group":0,"status":"ready","weight":1.0,"since_ms":1796137000000}]})",
       refusable([](const std::string& text) {
-        list::read_news(config::parse(text), carriage(), std::chrono::seconds(1000));
+        list::parse_list_update(config::parse(text), carriage(), std::chrono::seconds(1000));
       }));
   rounds("commissions", kCommission,
          refusable([](const std::string& text) { config::read_commission(text); }));
@@ -481,10 +483,10 @@
   if (pipe(told) != 0 || pipe(back) != 0) return;
   const pid_t child = fork();
   if (child == 0) {
-    struct Reader final : net::Watcher {
+    struct Reader final : net::EventHandler {
       int fd = -1;
       std::string order;
-      void ready(bool readable, bool) override {
+      void on_ready(bool readable, bool) override {
         char byte = 0;
         while (readable && read(fd, &byte, 1) == 1) order += byte;
       }
@@ -495,13 +497,13 @@
     loop.read_clock();
     const std::uint32_t place = loop.watch(told[0], reader);
     bool up = false;
-    loop.at(loop.now() + 200ms, [&] {
+    loop.call_at(loop.now() + 200ms, [&] {
       up = true;
       reader.order += " then the timer";
     });
     if (write(back[1], "r", 1) != 1) _exit(1);
-    while (!up) loop.gather();
-    loop.forget(told[0], place);
+    while (!up) loop.run_once();
+    loop.unwatch(told[0], place);
     const bool out = write(back[1], reader.order.data(), reader.order.size()) > 0;
     _exit(out ? 0 : 1);
   }
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -70,7 +70,7 @@
   virtual ~Host() = default;
   virtual void hear() = 0;
   Wire* accept() {
-    net::Descriptor fd = net::accept_from(listener.get());
+    net::Descriptor fd = net::accept_connection(listener.get());
     if (!fd) return nullptr;
     wires.push_back({std::move(fd)});
     return &wires.back();
@@ -96,16 +96,16 @@
       const std::string bytes = wire.take();
       std::string_view left = bytes;
       while (!left.empty()) {
-        left.remove_prefix(reader->take(left));
-        if (reader->state() != servers::FrameReader::State::done) continue;
-        std::string text = reader->frame().letter + std::string(" ") + reader->frame().rest;
+        left.remove_prefix(reader->feed(left));
+        if (reader->state() != servers::FrameParser::State::complete) continue;
+        std::string text = reader->frame().type + std::string(" ") + reader->frame().payload;
         for (std::size_t at; (at = text.find('\n')) != std::string::npos;) text.replace(at, 1, "|");
         for (std::size_t at = 0; (at = text.find(" d=", at)) != std::string::npos;) {
           at += 3;
           text.replace(at, text.find_first_not_of("0123456789", at) - at, "*");
         }
         got.push_back({&wire, text});
-        reader->restart();
+        reader->reset();
       }
       ++reader;
     }
@@ -117,7 +117,7 @@
     servers::end_frame(frame, place);
     wire->put(frame);
   }
-  std::list<servers::FrameReader> readers;
+  std::list<servers::FrameParser> readers;
   std::deque<Got> got;
   int opened = 0;
 };
@@ -250,7 +250,7 @@
     }
   }
   void turn() {
-    gatherer.loop().at(gatherer.loop().now() + 20ms, [] {});  // the stand-ins get their turn too
+    gatherer.loop().call_at(gatherer.loop().now() + 20ms, [] {});  // the stand-ins get their turn too
     running = gatherer.turn() && running;
     if (stepped != nullptr) stepped->pass();
   }
--- a/tests/search_rig.cpp
+++ b/tests/search_rig.cpp
@@ -162,7 +162,7 @@
   // A probe of whether somebody listens; -1: nobody does.
   static int connect_to(const net::Address& to) {
     sockaddr_storage address;
-    const socklen_t size = to.put(address);
+    const socklen_t size = to.to_sockaddr(address);
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     const int done = connect(fd, reinterpret_cast<sockaddr*>(&address), size);
     close(fd);
@@ -257,8 +257,8 @@
  private:
   void run() {
     while (!stop_) {
-      loop_.at(loop_.now() + 2ms, [] {});
-      loop_.gather();
+      loop_.call_at(loop_.now() + 2ms, [] {});
+      loop_.run_once();
       for (const auto& server : search_servers_) server->turn();
       std::function<void()> what;
       {
@@ -326,7 +326,7 @@
  public:
   explicit Wire(const net::Address& to) {
     sockaddr_storage address;
-    const socklen_t size = to.put(address);
+    const socklen_t size = to.to_sockaddr(address);
     fd_ = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     if (connect(fd_, reinterpret_cast<sockaddr*>(&address), size) != 0) end();
   }
@@ -382,17 +382,17 @@
         wire_.reset();
         continue;
       }
-      net::HttpReader reader(net::HttpReader::Kind::answer, 1024 * 1024);
+      net::HttpParser reader(net::HttpParser::Kind::response, 1024 * 1024);
       const auto end = Clock::now() + most;
       while (Clock::now() < end) {
         bool over = false;
         const std::string bytes = wire_->get(20ms, over);
-        reader.take(bytes);
-        if (reader.state() == net::HttpReader::State::done) {
-          if (!reader.message().stays()) wire_.reset();
+        reader.feed(bytes);
+        if (reader.state() == net::HttpParser::State::complete) {
+          if (!reader.message().keeps_alive()) wire_.reset();
           return reader.message();
         }
-        if (over || reader.state() == net::HttpReader::State::bad) break;
+        if (over || reader.state() == net::HttpParser::State::malformed) break;
       }
       wire_.reset();
       return std::nullopt;
@@ -481,9 +481,9 @@
                   time + 1s);
     Outcome out;
     if (!answer) return out;
-    if (answer->second == "503" || answer->second == "429") {
+    if (answer->target_or_status == "503" || answer->target_or_status == "429") {
       out.how = Outcome::How::not_run;
-    } else if (answer->second != "200") {
+    } else if (answer->target_or_status != "200") {
       out.how = Outcome::How::failed;
     } else {
       const auto json = nlohmann::json::parse(answer->body);
@@ -507,7 +507,7 @@
     Outcome out;
     if (!answer) return out;
     const auto read = sru::read_response(answer->body);
-    if (answer->second == "503") {
+    if (answer->target_or_status == "503") {
       out.how = Outcome::How::not_run;
     } else if (!read || read->diagnostic != 0) {
       out.how = Outcome::How::failed;
@@ -686,7 +686,7 @@
 
 std::string init_bytes() {
   z3950::Talk talk("clauses");
-  return talk.hello();
+  return talk.greeting();
 }
 
 // A session by bytes: an Init answered, or nothing.
@@ -702,16 +702,16 @@
   ask.database = "clauses";
   ask.pqf = pqf;
   ask.count = 20;
-  return talk.ask(search::text_of(ask), 0);
+  return talk.format_request(search::text_of(ask), 0);
 }
 
 // A session whose Init has been answered.
 z3950::Talk begun(Wire& wire) {
   z3950::Talk out("clauses");
-  wire.put(out.hello());
+  wire.put(out.greeting());
   bool over = false;
-  carrier::Said said;
-  out.take(wire.get(2s, over), said);
+  carrier::SessionEvent said;
+  out.feed(wire.get(2s, over), said);
   return out;
 }
 
@@ -747,11 +747,11 @@
     HttpClient http(world.sru);
     const auto answer =
         http.ask("GET /clauses?query=" + std::string(64 * 1024, '(') + " HTTP/1.1\r\nHost: x\r\n\r\n", 2s);
-    std::printf("SRU, 64 KiB of brackets: %s\n", answer ? answer->second.c_str() : "NO ANSWER");
+    std::printf("SRU, 64 KiB of brackets: %s\n", answer ? answer->target_or_status.c_str() : "NO ANSWER");
     const auto few =
         http.ask("GET /clauses?query=" + std::string(5000, '(') + " HTTP/1.1\r\nHost: x\r\n\r\n", 2s);
     const auto read = few ? sru::read_response(few->body) : std::nullopt;
-    std::printf("SRU, 5,000 brackets: %s, diagnostic %d\n", few ? few->second.c_str() : "NO ANSWER",
+    std::printf("SRU, 5,000 brackets: %s, diagnostic %d\n", few ? few->target_or_status.c_str() : "NO ANSWER",
                 read ? read->diagnostic : -1);
   }
   std::printf("alive: %s\n", alive(world) ? "yes" : "NO");
@@ -790,12 +790,13 @@
     z3950::Talk talk = begun(wire);
     wire.put(search_bytes(talk, "@attr 1=4 of"));
     std::this_thread::sleep_for(100ms);
-    wire.put(talk.cancel());
+    wire.put(talk.format_cancel());
     const auto since = Clock::now();
     bool over = false;
-    carrier::Said said;
-    talk.take(wire.get(3s, over), said);
-    std::printf("cancelled: %s, %s\n", said.what == carrier::Said::What::ready ? "answered" : "NOT ANSWERED",
+    carrier::SessionEvent said;
+    talk.feed(wire.get(3s, over), said);
+    std::printf("cancelled: %s, %s\n",
+                said.kind == carrier::SessionEvent::Kind::ready ? "answered" : "NOT ANSWERED",
                 Clock::now() - since < 300ms ? "at once" : "LATE");
     for (int i = 0; i < kServers; ++i) world.set(i, Manner::answers);
   }
--- a/tests/search_traces.cpp
+++ b/tests/search_traces.cpp
@@ -432,9 +432,9 @@
 
 net::HttpMessage get(const std::string& target) {
   net::HttpMessage out;
-  out.first = "GET";
-  out.second = target;
-  out.third = "HTTP/1.1";
+  out.method_or_version = "GET";
+  out.target_or_status = target;
+  out.version_or_reason = "HTTP/1.1";
   return out;
 }
 
@@ -499,12 +499,12 @@
 
 // ---- talks ----
 
-std::string said(const carrier::Said& s) {
+std::string said(const carrier::SessionEvent& s) {
   static const char* const kWhats[] = {"goes on", "ready",   "answered", "refused",
                                        "failed",  "leaving", "broken"};
-  std::string out = kWhats[static_cast<std::size_t>(s.what)];
+  std::string out = kWhats[static_cast<std::size_t>(s.kind)];
   if (!s.value.empty()) out += " " + s.value.substr(0, 100);
-  if (!s.why.empty()) out += " (" + s.why + ")";
+  if (!s.reason.empty()) out += " (" + s.reason + ")";
   return out;
 }
 
@@ -543,12 +543,12 @@
     for (const std::size_t step : {std::size_t{1}, std::size_t{7}, bytes.size()}) {
       sru::Talk talk("clauses{shard}", "host");
       if (step == 1 && verdict.empty() && std::strcmp(what, "an answer") == 0)
-        std::printf("%s\n", talk.ask(search::text_of(ask), 3).substr(0, 60).c_str());
+        std::printf("%s\n", talk.format_request(search::text_of(ask), 3).substr(0, 60).c_str());
       else
-        talk.ask(search::text_of(ask), 3);
-      carrier::Said out;
-      for (std::size_t used = 0; used < bytes.size() && out.what == carrier::Said::What::nothing;)
-        used += talk.take(std::string_view(bytes).substr(used, step), out);
+        talk.format_request(search::text_of(ask), 3);
+      carrier::SessionEvent out;
+      for (std::size_t used = 0; used < bytes.size() && out.kind == carrier::SessionEvent::Kind::none;)
+        used += talk.feed(std::string_view(bytes).substr(used, step), out);
       if (verdict.empty()) verdict = said(out);
       if (verdict != said(out)) verdict = "DEPENDS ON HOW IT IS CUT";
     }
@@ -557,16 +557,16 @@
   ask.sort = {{"dc.date", false}};
   sru::Talk sorted("clauses", "host");
   for (const std::string& text : {search::text_of(ask), std::string("c41e77d0")}) {
-    const std::string request_of = sorted.ask(text, 0);
+    const std::string request_of = sorted.format_request(text, 0);
     std::printf("SRU, %s: \"%s\", \"%s\"\n", text.size() > 8 ? "sorted" : "no search", request_of.c_str(),
-                sorted.declined().c_str());
+                sorted.unsupported_reply().c_str());
   }
   z3950::Talk z("clauses");
-  const std::string early = z.ask(search::text_of(ask), 0);
+  const std::string early = z.format_request(search::text_of(ask), 0);
   std::printf("Z39.50, before its Init is answered: \"%s\"; hello has %s\n", early.c_str(),
-              z.hello().size() > 20 ? "something" : "NOTHING");
-  carrier::Said out;
-  z.take("HTTP/1.1 400 Bad Request\r\n", out);
+              z.greeting().size() > 20 ? "something" : "NOTHING");
+  carrier::SessionEvent out;
+  z.feed("HTTP/1.1 400 Bad Request\r\n", out);
   std::printf("Z39.50, an answer in HTTP: %s\n", said(out).c_str());
 }
 
@@ -581,53 +581,53 @@
     its.connect_timeout = 100ms;
     its.idle = 10s;
     carrier::Carrier carrier(loop, its, z3950::make_talk, [] { return false; });
-    carrier.serve({{"s", "clauses"}});
-    list::News news;
-    news.whole = true;
-    list::Entry entry;
+    carrier.set_databases({{"s", "clauses"}});
+    list::ListUpdate news;
+    news.is_snapshot = true;
+    list::ServerEntry entry;
     entry.row.server = "s";
     entry.addresses = std::move(addresses);
     news.entries.push_back(entry);
-    carrier.listed(news);
+    carrier.apply_list_update(news);
     if (then_unreadable) {
       news.entries.clear();
-      news.unreadable.insert("s");
-      carrier.listed(news);
+      news.unreadable_servers.insert("s");
+      carrier.apply_list_update(news);
     }
-    std::vector<servers::Errand> errands;
+    std::vector<servers::SendRequest> errands;
     for (int i = 0; i < 3; ++i) {
-      servers::Errand errand;
+      servers::SendRequest errand;
       errand.part.text.fill(static_cast<char>('a' + i));
       errand.text = std::make_shared<const std::string>(search::text_of(search::PartAsk{}));
-      errand.pulled = loop.now();
-      errand.not_past = loop.now() + patience;
+      errand.issued_at = loop.now();
+      errand.deadline = loop.now() + patience;
       errands.push_back(std::move(errand));
     }
     carrier.call("s", std::move(errands));
     const Duration end = loop.now() + 1s;
-    while (carrier.ended.size() < 3 && loop.now() < end) {
-      loop.at(loop.now() + 5ms, [] {});
-      loop.gather();
-      carrier.bury();
+    while (carrier.finished_sends.size() < 3 && loop.now() < end) {
+      loop.call_at(loop.now() + 5ms, [] {});
+      loop.run_once();
+      carrier.destroy_closed();
     }
     int never = 0, unused = 0;
     Duration longest{};
-    for (const servers::Ended& one : carrier.ended) {
+    for (const servers::SendResult& one : carrier.finished_sends) {
       never += one.fate == Fate::dial_failed ? 1 : 0;
       unused += one.fate == Fate::unused ? 1 : 0;
       longest = std::max(longest, one.elapsed);
     }
-    carrier.listed([] {
-      list::News none;
-      none.whole = true;
+    carrier.apply_list_update([] {
+      list::ListUpdate none;
+      none.is_snapshot = true;
       return none;
     }());
-    std::printf("%s: %zu fates, %d not connected, %d unused, %s; left over %zu\n", what, carrier.ended.size(),
-                never, unused,
+    std::printf("%s: %zu fates, %d not connected, %d unused, %s; left over %zu\n", what,
+                carrier.finished_sends.size(), never, unused,
                 longest < 50ms    ? "at once"
                 : longest < 350ms ? "soon"
                                   : "LATE",
-                carrier.connections());
+                carrier.connection_count());
   };
   const net::Address nobody = *net::parse_address("unix:@marbledyke-nobody-" + std::to_string(getpid()));
   const net::Address silent = *net::parse_address("unix:@marbledyke-silent-" + std::to_string(getpid()));
@@ -678,7 +678,7 @@
   std::printf("CQL: %s read, %s refused\n", good > 100 ? "some" : "FEW", bad > 100 ? "some" : "FEW");
   // Messages of the protocol itself, damaged: the scanner ends them or refuses, and YAZ decodes or refuses.
   z3950::Talk maker("clauses");
-  const std::string hello = maker.hello();
+  const std::string hello = maker.greeting();
   long done = 0, refused = 0;
   for (int i = 0; i < 20'000; ++i) {
     std::string bytes = hello;
@@ -688,10 +688,11 @@
     scanner.take(bytes);
     (scanner.state() == z3950::BerScanner::State::done ? done : refused) += 1;
     z3950::Talk reader("clauses");
-    reader.hello();
-    carrier::Said out;
-    for (std::size_t used = 0; used < bytes.size() && out.what != carrier::Said::What::broken;) {
-      const std::size_t step = reader.take(std::string_view(bytes).substr(used), out);
+    reader.greeting();
+    carrier::SessionEvent out;
+    for (std::size_t used = 0;
+         used < bytes.size() && out.kind != carrier::SessionEvent::Kind::protocol_error;) {
+      const std::size_t step = reader.feed(std::string_view(bytes).substr(used), out);
       if (step == 0) break;
       used += step;
     }
