--- a/src/net/address.cpp
+++ b/src/net/address.cpp
@@ -12,34 +12,34 @@
 namespace marbledyke::net {
 namespace {
 
-constexpr std::array<std::string_view, 3> kFamilies{"local", "ip6", "ip4"};
-constexpr std::string_view kUnix = "unix:";
-constexpr std::size_t kMostPath = sizeof(sockaddr_un::sun_path) - 1;
+constexpr std::array<std::string_view, 3> kFamilyNames{"local", "ip6", "ip4"};
+constexpr std::string_view kUnixPrefix = "unix:";
+constexpr std::size_t kMaxPathBytes = sizeof(sockaddr_un::sun_path) - 1;
 
 template <typename T>
-std::optional<T> whole(std::string_view text, T least, T most) {
+std::optional<T> parse_integer(std::string_view text, T min, T max) {
   T out = 0;
   const char* const end = text.data() + text.size();
-  const auto [at, wrong] = std::from_chars(text.data(), end, out);
-  if (text.empty() || wrong != std::errc() || at != end || out < least || out > most) return std::nullopt;
+  const auto [at, error] = std::from_chars(text.data(), end, out);
+  if (text.empty() || error != std::errc() || at != end || out < min || out > max) return std::nullopt;
   return out;
 }
 
 }  // namespace
 
-std::string_view name_of(Family family) { return kFamilies[static_cast<std::size_t>(family)]; }
+std::string_view name_of(Family family) { return kFamilyNames[static_cast<std::size_t>(family)]; }
 
 std::optional<Family> parse_family(std::string_view name) {
-  const auto at = std::find(kFamilies.begin(), kFamilies.end(), name);
-  if (at == kFamilies.end()) return std::nullopt;
-  return static_cast<Family>(at - kFamilies.begin());
+  const auto at = std::find(kFamilyNames.begin(), kFamilyNames.end(), name);
+  if (at == kFamilyNames.end()) return std::nullopt;
+  return static_cast<Family>(at - kFamilyNames.begin());
 }
 
 std::optional<Address> parse_address(std::string_view text) {
   Address out;
-  if (text.starts_with(kUnix)) {
-    const std::string_view path = text.substr(kUnix.size());
-    if (path.size() < 2 || path.size() > kMostPath || (path.front() != '/' && path.front() != '@') ||
+  if (text.starts_with(kUnixPrefix)) {
+    const std::string_view path = text.substr(kUnixPrefix.size());
+    if (path.size() < 2 || path.size() > kMaxPathBytes || (path.front() != '/' && path.front() != '@') ||
         path.find('\0') != std::string_view::npos)
       return std::nullopt;
     out.family_ = Family::local;
@@ -48,14 +48,14 @@
   }
   const std::size_t colon = text.rfind(':');
   if (colon == std::string_view::npos) return std::nullopt;
-  const auto port = whole<unsigned>(text.substr(colon + 1), 1, 65535);
+  const auto port = parse_integer<unsigned>(text.substr(colon + 1), 1, 65535);
   if (!port) return std::nullopt;
   out.port_ = static_cast<std::uint16_t>(*port);
   std::string_view host = text.substr(0, colon);
   if (host.size() > 2 && host.front() == '[' && host.back() == ']') {
     host = host.substr(1, host.size() - 2);
     if (const std::size_t percent = host.find('%'); percent != std::string_view::npos) {
-      const auto scope = whole<std::uint32_t>(host.substr(percent + 1), 1, 0xffffffff);
+      const auto scope = parse_integer<std::uint32_t>(host.substr(percent + 1), 1, 0xffffffff);
       if (!scope) return std::nullopt;
       out.scope_ = *scope;
       host = host.substr(0, percent);
@@ -70,7 +70,7 @@
 }
 
 std::string Address::text() const {
-  if (family_ == Family::local) return std::string(kUnix) + bytes_;
+  if (family_ == Family::local) return std::string(kUnixPrefix) + bytes_;
   std::array<char, INET6_ADDRSTRLEN> host{};
   if (family_ == Family::ip4) {
     inet_ntop(AF_INET, bytes_.data(), host.data(), host.size());
@@ -90,7 +90,7 @@
     const bool abstract = bytes_.front() == '@';
     if (abstract) to.sun_path[0] = '\0';
     std::memcpy(&out, &to, sizeof to);
-    // An abstract name's length is part of it; a path ends in a NUL.
+    // The length delimits an abstract name; a path includes its terminating NUL.
     return static_cast<socklen_t>(offsetof(sockaddr_un, sun_path) + bytes_.size() + (abstract ? 0 : 1));
   }
   if (family_ == Family::ip6) {
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -1,5 +1,5 @@
-// Where a peer listens: an IPv4 or IPv6 address with a port, or a local Unix socket. A plain value; nothing
-// is looked up or opened.
+// The address at which a peer listens: an IPv4 or IPv6 address with a port, or a Unix domain socket. A plain
+// value: no name is resolved and no socket is opened.
 #pragma once
 
 #include <netinet/in.h>
@@ -14,19 +14,21 @@
 
 enum class Family { local, ip6, ip4 };
 std::string_view name_of(Family family);  // "local", "ip6", "ip4"
+// Returns nothing for an unknown name.
 std::optional<Family> parse_family(std::string_view name);
 
+// A socket address. Addresses are ordered by family, then by their numeric values or path.
 class Address {
  public:
-  Address() = default;  // 0.0.0.0:0, which no peer has
+  // Makes 0.0.0.0:0, which no peer can have.
+  Address() = default;
 
   Family family() const { return family_; }
-  // As it is written in configuration; equal addresses have equal texts.
+  // Returns the notation used in configuration. Equal addresses have equal texts.
   std::string text() const;
-  // In the form that sockets take; gives the length.
+  // Writes the address as the socket calls expect it, and returns its length in bytes.
   socklen_t to_sockaddr(sockaddr_storage& out) const;
 
-  // Of the same family in the same order every time.
   auto operator<=>(const Address&) const = default;
 
  private:
@@ -34,12 +36,13 @@
 
   Family family_ = Family::ip4;
   std::uint16_t port_ = 0;
-  std::uint32_t scope_ = 0;                   // an IPv6 zone, by number
-  std::string bytes_ = std::string(4, '\0');  // the address in network order; the path, '@' for a NUL first
+  std::uint32_t scope_ = 0;  // the numeric IPv6 zone index; 0: none
+  std::string bytes_ = std::string(
+      4, '\0');  // an IP address in network byte order, or a path whose leading '@' stands for NUL
 };
 
-// "1.2.3.4:90", "[fd00::1]:90", "[fe80::1%2]:90", "unix:/run/leaf.sock", "unix:@abstract". Ports 1 to 65535,
-// paths that are absolute and fit a socket's address.
+// Parses "1.2.3.4:90", "[fd00::1]:90", "[fe80::1%2]:90", "unix:/run/leaf.sock" or "unix:@abstract". Ports are
+// 1 to 65535; a path has to be absolute and to fit sockaddr_un. Returns nothing for any other text.
 std::optional<Address> parse_address(std::string_view text);
 
 }  // namespace marbledyke::net
--- a/src/net/descriptor.h
+++ b/src/net/descriptor.h
@@ -1,4 +1,4 @@
-// A file descriptor with one owner.
+// A file descriptor that is closed when its single owner is destroyed.
 #pragma once
 
 #include <unistd.h>
@@ -7,6 +7,7 @@
 
 namespace marbledyke::net {
 
+// Owns a file descriptor, or none (-1). Movable, not copyable.
 class Descriptor {
  public:
   Descriptor() = default;
--- a/src/net/descriptor_reserve.h
+++ b/src/net/descriptor_reserve.h
@@ -1,4 +1,4 @@
-// Descriptors held back for what must come through when everything else has taken the rest.
+// A reserve of file descriptors for operations that have to succeed when all other descriptors are in use.
 #pragma once
 
 #include <fcntl.h>
@@ -10,20 +10,21 @@
 
 namespace marbledyke::net {
 
+// Holds open descriptors of /dev/null and closes them on demand.
 class DescriptorReserve {
  public:
   explicit DescriptorReserve(std::size_t count) : count_(count) { set_in_use(0); }
 
   std::size_t held_count() const { return held_.size(); }
 
-  // Gives one of them up, so that the next descriptor can be opened; false: none is held.
+  // Closes one reserved descriptor, so that another can be opened. Returns false where none is held.
   bool release_one() {
     if (held_.empty()) return false;
     held_.pop_back();
     return true;
   }
 
-  // Takes one back; false: there is no descriptor to be had now.
+  // Opens one reserved descriptor again. Returns false where no descriptor is available.
   bool reacquire_one() {
     Descriptor fd(open("/dev/null", O_RDONLY | O_CLOEXEC));
     if (!fd) return false;
@@ -31,12 +32,12 @@
     return true;
   }
 
-  // So many of them are needed now, or have been given back; the others are held.
+  // Declares how many descriptors of the reserve are in use at present, and holds the others.
   void set_in_use(std::size_t used) {
-    const std::size_t want = used < count_ ? count_ - used : 0;
-    while (held_.size() > want) held_.pop_back();
-    while (held_.size() < want) {
-      if (!reacquire_one()) return;  // nobody had one to spare; tried again the next time
+    const std::size_t wanted = used < count_ ? count_ - used : 0;
+    while (held_.size() > wanted) held_.pop_back();
+    while (held_.size() < wanted) {
+      if (!reacquire_one()) return;  // no descriptor available; the next call tries again
     }
   }
 
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -8,16 +8,16 @@
 namespace marbledyke::net {
 namespace {
 
-constexpr std::size_t kMostHead = 16 * 1024;
+constexpr std::size_t kMaxHeadBytes = 16 * 1024;  // of the start line and the headers
 
-bool token_char(char c) {
+bool is_token_char(char c) {
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
          std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
 }
 
 char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
-std::string lowered(std::string_view text) {
+std::string to_lower(std::string_view text) {
   std::string out(text);
   std::transform(out.begin(), out.end(), out.begin(), lower);
   return out;
@@ -29,18 +29,18 @@
   return text.substr(from, text.find_last_not_of(" \t") - from + 1);
 }
 
-std::optional<std::size_t> number(std::string_view text, int base) {
+std::optional<std::size_t> parse_number(std::string_view text, int base) {
   std::size_t out = 0;
-  const auto [at, wrong] = std::from_chars(text.data(), text.data() + text.size(), out, base);
-  if (text.empty() || wrong != std::errc() || at != text.data() + text.size()) return std::nullopt;
+  const auto [at, error] = std::from_chars(text.data(), text.data() + text.size(), out, base);
+  if (text.empty() || error != std::errc() || at != text.data() + text.size()) return std::nullopt;
   return out;
 }
 
-// Whether a comma-separated list holds a word.
-bool lists(std::string_view list, std::string_view word) {
+// Whether a comma-separated list contains a lower-case word.
+bool list_contains(std::string_view list, std::string_view word) {
   while (!list.empty()) {
     const std::size_t comma = list.find(',');
-    if (lowered(trimmed(list.substr(0, comma))) == word) return true;
+    if (to_lower(trimmed(list.substr(0, comma))) == word) return true;
     if (comma == std::string_view::npos) return false;
     list.remove_prefix(comma + 1);
   }
@@ -64,8 +64,8 @@
 bool HttpMessage::keeps_alive() const {
   const std::string* connection = header("connection");
   const std::string& version = method_or_version.starts_with("HTTP/") ? method_or_version : version_or_reason;
-  if (version == "HTTP/1.0") return connection != nullptr && lists(*connection, "keep-alive");
-  return connection == nullptr || !lists(*connection, "close");
+  if (version == "HTTP/1.0") return connection != nullptr && list_contains(*connection, "keep-alive");
+  return connection == nullptr || !list_contains(*connection, "close");
 }
 
 void HttpParser::reset() { *this = HttpParser(kind_, max_body_); }
@@ -79,24 +79,24 @@
   std::size_t used = 0;
   while (state_ == State::incomplete && used < bytes.size()) {
     started_ = true;
-    if (at_ == At::body || at_ == At::chunk || at_ == At::to_the_end) {
+    if (position_ == Position::body || position_ == Position::chunk || position_ == Position::until_close) {
       std::size_t count = bytes.size() - used;
-      if (at_ != At::to_the_end) count = std::min(left_, count);
+      if (position_ != Position::until_close) count = std::min(remaining_, count);
       if (message_.body.size() + count > max_body_) {
         fail(413);
         break;
       }
       message_.body.append(bytes, used, count);
       used += count;
-      if (at_ == At::to_the_end) continue;
-      left_ -= count;
-      if (left_ > 0) continue;
-      if (at_ == At::body) state_ = State::complete;
-      at_ = At::chunk_end;
+      if (position_ == Position::until_close) continue;
+      remaining_ -= count;
+      if (remaining_ > 0) continue;
+      if (position_ == Position::body) state_ = State::complete;
+      position_ = Position::chunk_end;
       continue;
     }
     const char c = bytes[used++];
-    if (++head_size_ > kMostHead) {
+    if (++head_size_ > kMaxHeadBytes) {
       fail(431);
     } else if (c != '\n') {
       line_ += c;
@@ -111,7 +111,7 @@
 
 void HttpParser::on_peer_closed() {
   if (state_ != State::incomplete) return;
-  if (at_ == At::to_the_end) {
+  if (position_ == Position::until_close) {
     state_ = State::complete;
   } else {
     fail(400);
@@ -120,24 +120,25 @@
 
 void HttpParser::line() {
   if (line_.find('\r') != std::string::npos || line_.find('\0') != std::string::npos) return fail(400);
-  switch (at_) {
-    case At::first_line:
-      if (line_.empty() && kind_ == Kind::request) return;  // a stray line end before a request is harmless
+  switch (position_) {
+    case Position::first_line:
+      if (line_.empty() && kind_ == Kind::request)
+        return;  // RFC 9112, 2.2: empty lines before a request are ignored
       return first_line();
-    case At::header:
-      return line_.empty() ? head_read() : header_line();
-    case At::chunk_size:
+    case Position::header:
+      return line_.empty() ? end_of_head() : header_line();
+    case Position::chunk_size:
       return chunk_line();
-    case At::chunk_end:
+    case Position::chunk_end:
       if (!line_.empty()) return fail(400);
-      at_ = At::chunk_size;
+      position_ = Position::chunk_size;
       return;
-    case At::trailer:
+    case Position::trailer:
       if (line_.empty()) state_ = State::complete;
       return;
-    case At::body:
-    case At::chunk:
-    case At::to_the_end:
+    case Position::body:
+    case Position::chunk:
+    case Position::until_close:
       return;
   }
 }
@@ -154,69 +155,70 @@
   if (!version.starts_with("HTTP/") || message_.target_or_status.empty()) return fail(400);
   if (version != "HTTP/1.1" && version != "HTTP/1.0") return fail(505);
   if (kind_ == Kind::request &&
-      !std::all_of(message_.method_or_version.begin(), message_.method_or_version.end(), token_char))
+      !std::all_of(message_.method_or_version.begin(), message_.method_or_version.end(), is_token_char))
     return fail(400);
   if (kind_ == Kind::response &&
-      (message_.target_or_status.size() != 3 || !number(message_.target_or_status, 10)))
+      (message_.target_or_status.size() != 3 || !parse_number(message_.target_or_status, 10)))
     return fail(400);
-  at_ = At::header;
+  position_ = Position::header;
 }
 
 void HttpParser::header_line() {
   const std::size_t colon = line_.find(':');
   if (colon == std::string::npos || colon == 0) return fail(400);
   const std::string_view name = std::string_view(line_).substr(0, colon);
-  // A space before the colon or a folded line is read differently by different readers, so neither is read.
-  if (!std::all_of(name.begin(), name.end(), token_char)) return fail(400);
-  message_.headers.emplace_back(lowered(name), trimmed(std::string_view(line_).substr(colon + 1)));
+  // A space before the colon and a folded line are read differently by different parsers (request smuggling),
+  // so both are rejected.
+  if (!std::all_of(name.begin(), name.end(), is_token_char)) return fail(400);
+  message_.headers.emplace_back(to_lower(name), trimmed(std::string_view(line_).substr(colon + 1)));
 }
 
-void HttpParser::head_read() {
+void HttpParser::end_of_head() {
   std::optional<std::size_t> length;
   bool chunked = false;
   for (const auto& [name, value] : message_.headers) {
     if (name == "content-length") {
-      const auto stated = number(value, 10);
-      if (!stated || (length && *length != *stated)) return fail(400);
-      length = stated;
+      const auto parsed = parse_number(value, 10);
+      if (!parsed || (length && *length != *parsed)) return fail(400);
+      length = parsed;
     } else if (name == "transfer-encoding") {
-      if (chunked || lowered(value) != "chunked") return fail(400);
+      if (chunked || to_lower(value) != "chunked") return fail(400);
       chunked = true;
     }
   }
-  if (chunked && length) return fail(400);  // two readers could end it at two places
+  if (chunked && length) return fail(400);  // two parsers could disagree on the message's end
   if (length && *length > max_body_) return fail(413);
-  const bool bare =
+  const bool has_no_body =
       kind_ == Kind::response && (message_.target_or_status[0] == '1' || message_.target_or_status == "204" ||
                                   message_.target_or_status == "304");
-  if (bare && message_.target_or_status[0] == '1') {  // an interim answer; the real one follows
+  if (has_no_body && message_.target_or_status[0] == '1') {  // an interim response; the final one follows
     reset();
     return;
   }
   if (chunked) {
-    at_ = At::chunk_size;
-  } else if (length.value_or(0) > 0 && !bare) {
-    left_ = *length;
-    at_ = At::body;
-  } else if (length || bare || kind_ == Kind::request) {
+    position_ = Position::chunk_size;
+  } else if (length.value_or(0) > 0 && !has_no_body) {
+    remaining_ = *length;
+    position_ = Position::body;
+  } else if (length || has_no_body || kind_ == Kind::request) {
     state_ = State::complete;
   } else {
-    at_ = At::to_the_end;
+    position_ = Position::until_close;
   }
 }
 
 void HttpParser::chunk_line() {
-  const auto size = number(trimmed(std::string_view(line_).substr(0, line_.find(';'))), 16);
+  const auto size = parse_number(trimmed(std::string_view(line_).substr(0, line_.find(';'))), 16);
   if (!size) return fail(400);
   if (*size > max_body_ - message_.body.size()) return fail(413);
-  left_ = *size;
-  at_ = *size == 0 ? At::trailer : At::chunk;
+  remaining_ = *size;
+  position_ = *size == 0 ? Position::trailer : Position::chunk;
   head_size_ = 0;
 }
 
 namespace {
 
-const char* reason(int status) {
+const char* reason_phrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -247,7 +249,7 @@
 
 std::string format_response(int status, std::string_view type, std::string_view body, bool keep_alive,
                             Duration retry_after) {
-  std::string out = "HTTP/1.1 " + std::to_string(status) + ' ' + reason(status) + "\r\n";
+  std::string out = "HTTP/1.1 " + std::to_string(status) + ' ' + reason_phrase(status) + "\r\n";
   out.append("Content-Type: ").append(type).append("\r\n");
   out += "Content-Length: " + std::to_string(body.size()) + "\r\n";
   if (retry_after > Duration::zero()) {
--- a/src/net/json_server.cpp
+++ b/src/net/json_server.cpp
@@ -7,31 +7,35 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration kWhole = 2s;     // a request is here within this from its first byte
-constexpr Duration kIdle = 30s;     // a connection without one
-constexpr Duration kParting = 1s;   // after its last answer, for who does not close
-constexpr Duration kWrite = 10s;    // an answer is taken within this
-constexpr Duration kSweep = 200ms;  // how often these are looked at
-constexpr std::size_t kMostAnswer = 16 * 1024 * 1024;
+constexpr Duration kRequestTimeout = 2s;  // from the first byte of a request to its last
+constexpr Duration kIdleTimeout = 30s;    // of a connection without a request
+constexpr Duration kLingerTimeout = 1s;   // after the last response, for a peer that does not close
+constexpr Duration kWriteTimeout = 10s;   // for the peer to read a response
+constexpr Duration kSweepInterval = 200ms;
+constexpr std::size_t kMaxResponseBytes = 16 * 1024 * 1024;
 
 }  // namespace
 
 struct JsonServer::Connection {
-  explicit Connection(std::size_t most_body) : reader(HttpParser::Kind::request, most_body) {}
+  explicit Connection(std::size_t max_body) : parser(HttpParser::Kind::request, max_body) {}
 
-  // reading, waiting for the owner, answering; parting: what still comes is dropped.
-  enum class Phase { reading, waiting, answering, parting };
+  enum class Phase {
+    reading,
+    waiting,    // for the owner's reply
+    answering,  // writing the response
+    parting     // the write side is closed; input is dropped until the peer closes
+  };
 
-  ConnectionId number = 0;
+  ConnectionId id = 0;
   std::unique_ptr<Stream> stream;
-  HttpParser reader;
+  HttpParser parser;
   Phase phase = Phase::reading;
-  Duration since{};  // the request's first byte, the beginning of the phase, or the end of the last request
-  bool stays = true;
+  Duration since{};  // the request's first byte, the beginning of the phase, or the end of the former request
+  bool keep_alive = true;
 };
 
-JsonServer::JsonServer(Loop& loop, const Address& address, const Limits& limits, Callbacks told)
-    : loop_(loop), limits_(limits), callbacks_(std::move(told)) {
+JsonServer::JsonServer(Loop& loop, const Address& address, const Limits& limits, Callbacks callbacks)
+    : loop_(loop), limits_(limits), callbacks_(std::move(callbacks)) {
   const std::string text = address.text();
   if (address.family() == Family::local && text.starts_with("unix:/")) {
     path_ = text.substr(5);
@@ -40,126 +44,128 @@
   listener_ = std::make_unique<Listener>(
       loop, address,
       Listener::Callbacks{[this] { return connections_.size() < limits_.max_connections; },
-                          [] { return false; }, [this](Descriptor fd) { came(std::move(fd)); }});
+                          [] { return false; }, [this](Descriptor fd) { on_accepted(std::move(fd)); }});
   sweep();
 }
 
 JsonServer::~JsonServer() {
-  loop_.cancel(sweep_);
+  loop_.cancel(sweep_timer_);
   listener_.reset();
   if (!path_.empty()) unlink(path_.c_str());
 }
 
-void JsonServer::came(Descriptor fd) {
-  auto made = std::make_unique<Connection>(limits_.max_body_bytes);
-  Connection* const connection = made.get();
-  connection->number = next_++;
+void JsonServer::on_accepted(Descriptor fd) {
+  auto owned = std::make_unique<Connection>(limits_.max_body_bytes);
+  Connection* const connection = owned.get();
+  connection->id = next_id_++;
   connection->since = loop_.now();
-  connections_.emplace(connection->number, std::move(made));
+  connections_.emplace(connection->id, std::move(owned));
   connection->stream =
-      std::make_unique<Stream>(loop_, std::move(fd), true, limits_.max_body_bytes, kMostAnswer,
-                               Stream::Callbacks{nullptr, [this, connection] { arrived(*connection); },
-                                                 [this, connection] { drained(*connection); },
+      std::make_unique<Stream>(loop_, std::move(fd), true, limits_.max_body_bytes, kMaxResponseBytes,
+                               Stream::Callbacks{nullptr, [this, connection] { on_data(*connection); },
+                                                 [this, connection] { on_drained(*connection); },
                                                  [this, connection](bool) { drop(*connection); }});
 }
 
-void JsonServer::drained(Connection& connection) {
+void JsonServer::on_drained(Connection& connection) {
   if (connection.phase != Connection::Phase::answering) return;
   connection.since = loop_.now();
-  connection.phase = connection.stays ? Connection::Phase::reading : Connection::Phase::parting;
-  // A close over bytes that were not read is a reset, which can overtake the answer.
-  if (!connection.stays) return connection.stream->shutdown_write();
-  arrived(connection);
+  connection.phase = connection.keep_alive ? Connection::Phase::reading : Connection::Phase::parting;
+  // Closing with unread input would send a reset, which can discard the response on its way.
+  if (!connection.keep_alive) return connection.stream->shutdown_write();
+  on_data(connection);
 }
 
 void JsonServer::drop(Connection& connection) {
   connection.stream->close();
-  const auto at = connections_.find(connection.number);
+  const auto at = connections_.find(connection.id);
   if (at == connections_.end()) return;
-  const bool waited = connection.phase == Connection::Phase::waiting;
-  graves_.push_back(std::move(at->second));
+  const bool was_waiting = connection.phase == Connection::Phase::waiting;
+  closed_.push_back(std::move(at->second));
   connections_.erase(at);
-  if (graves_.size() == 1) loop_.call_at(loop_.now(), [this] { graves_.clear(); });
+  if (closed_.size() == 1) loop_.call_at(loop_.now(), [this] { closed_.clear(); });
   listener_->resume();
-  if (waited && callbacks_.on_abandoned) callbacks_.on_abandoned(connection.number);
+  if (was_waiting && callbacks_.on_abandoned) callbacks_.on_abandoned(connection.id);
 }
 
-void JsonServer::arrived(Connection& connection) {
+void JsonServer::on_data(Connection& connection) {
   using Phase = Connection::Phase;
   RingBuffer& in = connection.stream->in();
-  const bool last = !connection.stays && connection.phase == Phase::answering;
+  const bool last = !connection.keep_alive && connection.phase == Phase::answering;
   if (connection.phase == Phase::parting || last) {
     in.clear();
     return connection.stream->resume_reading();
   }
   while (!in.empty() && connection.phase == Phase::reading && !connection.stream->is_closed()) {
-    if (!connection.reader.has_started()) connection.since = loop_.now();
-    in.consume(connection.reader.feed(in.front()));
-    if (connection.reader.state() == HttpParser::State::incomplete) continue;
-    if (connection.reader.state() == HttpParser::State::malformed)
+    if (!connection.parser.has_started()) connection.since = loop_.now();
+    in.consume(connection.parser.feed(in.front()));
+    if (connection.parser.state() == HttpParser::State::incomplete) continue;
+    if (connection.parser.state() == HttpParser::State::malformed)
       return write(connection,
-                   {connection.reader.error_status(), R"({"error":"the request cannot be read"})"}, false);
-    ask(connection);
+                   {connection.parser.error_status(), R"({"error":"the request cannot be read"})"}, false);
+    dispatch(connection);
   }
   if (!connection.stream->is_closed()) connection.stream->resume_reading();
 }
 
-void JsonServer::ask(Connection& connection) {
-  HttpMessage message = std::move(connection.reader.message());
-  connection.reader.reset();
-  connection.stays = message.keeps_alive();
+void JsonServer::dispatch(Connection& connection) {
+  HttpMessage message = std::move(connection.parser.message());
+  connection.parser.reset();
+  connection.keep_alive = message.keeps_alive();
   connection.phase = Connection::Phase::waiting;
   connection.since = loop_.now();
-  callbacks_.on_request(connection.number, {std::move(message.method_or_version),
-                                            std::move(message.target_or_status), std::move(message.body)});
+  callbacks_.on_request(connection.id, {std::move(message.method_or_version),
+                                        std::move(message.target_or_status), std::move(message.body)});
 }
 
-void JsonServer::send_reply(ConnectionId caller, const JsonReply& reply) {
-  const auto at = connections_.find(caller);
+void JsonServer::send_reply(ConnectionId id, const JsonReply& reply) {
+  const auto at = connections_.find(id);
   if (at == connections_.end() || at->second->phase != Connection::Phase::waiting) return;
-  write(*at->second, reply, at->second->stays);
+  write(*at->second, reply, at->second->keep_alive);
 }
 
-void JsonServer::write(Connection& connection, const JsonReply& reply, bool stays) {
+void JsonServer::write(Connection& connection, const JsonReply& reply, bool keep_alive) {
   connection.phase = Connection::Phase::answering;
-  connection.stays = stays;
+  connection.keep_alive = keep_alive;
   connection.since = loop_.now();
   const std::string text =
-      format_response(reply.status, "application/json", reply.body + "\n", stays, Duration{});
+      format_response(reply.status, "application/json", reply.body + "\n", keep_alive, Duration{});
   if (!connection.stream->out().append(text)) return drop(connection);
   connection.stream->flush();
 }
 
-// Ends what has lasted beyond its bound.
+// Ends a phase that has exceeded its time limit.
 void JsonServer::check(Connection& connection) {
   using Phase = Connection::Phase;
   const Duration lasted = loop_.now() - connection.since;
   if (connection.phase == Phase::parting) {
-    if (lasted > kParting) drop(connection);
+    if (lasted > kLingerTimeout) drop(connection);
   } else if (connection.phase == Phase::answering) {
-    if (lasted > kWrite) drop(connection);
+    if (lasted > kWriteTimeout) drop(connection);
   } else if (connection.phase == Phase::waiting) {
     if (lasted <= limits_.reply_timeout) return;
-    const ConnectionId number = connection.number;
-    write(connection, {503, R"({"error":"no answer in time"})"}, connection.stays);
-    if (callbacks_.on_abandoned) callbacks_.on_abandoned(number);
-  } else if (connection.reader.has_started()) {
-    if (lasted > kWhole) write(connection, {408, R"({"error":"the request did not end in time"})"}, false);
-  } else if (lasted > kIdle) {
+    const ConnectionId id = connection.id;
+    write(connection, {503, R"({"error":"no answer in time"})"}, connection.keep_alive);
+    if (callbacks_.on_abandoned) callbacks_.on_abandoned(id);
+  } else if (connection.parser.has_started()) {
+    if (lasted > kRequestTimeout)
+      write(connection, {408, R"({"error":"the request did not end in time"})"}, false);
+  } else if (lasted > kIdleTimeout) {
     drop(connection);
   }
 }
 
-// An owner that is told of one caller may answer others, whose connections may end with that.
+// Within a callback the owner may reply to other connections, which may end these: the sweep therefore works
+// on a copy of the ids.
 void JsonServer::sweep() {
-  std::vector<ConnectionId> numbers;
-  numbers.reserve(connections_.size());
-  for (const auto& [number, connection] : connections_) numbers.push_back(number);
-  for (const ConnectionId number : numbers) {
-    const auto at = connections_.find(number);
+  std::vector<ConnectionId> ids;
+  ids.reserve(connections_.size());
+  for (const auto& [id, connection] : connections_) ids.push_back(id);
+  for (const ConnectionId id : ids) {
+    const auto at = connections_.find(id);
     if (at != connections_.end()) check(*at->second);
   }
-  sweep_ = loop_.call_at(loop_.now() + kSweep, [this] { sweep(); });
+  sweep_timer_ = loop_.call_at(loop_.now() + kSweepInterval, [this] { sweep(); });
 }
 
 }  // namespace marbledyke::net
--- a/src/net/json_server.h
+++ b/src/net/json_server.h
@@ -1,5 +1,6 @@
-// JSON over HTTP/1.1 for a bounded number of callers. A request that is malformed, too large, half or slow
-// gets an error within a bound; all others are told to the owner, who answers at once or later (a long poll).
+// A JSON-over-HTTP/1.1 server for a bounded number of connections. Requests that are malformed, too large,
+// incomplete or slow are answered with an error within a time limit; all others are passed to the owner,
+// which replies at once or later (long polling).
 #pragma once
 
 #include <cstdint>
@@ -28,35 +29,37 @@
 
 class JsonServer {
  public:
-  using ConnectionId = std::uint64_t;  // a connection; no two of one server have the same number
+  using ConnectionId = std::uint64_t;  // unique over the server's lifetime
   struct Limits {
-    std::size_t max_connections = 64;        // connections; more wait in the backlog
-    std::size_t max_body_bytes = 64 * 1024;  // bytes of a request's body
-    Duration reply_timeout{10'000'000};      // an owner who has not answered after this: 503
+    std::size_t max_connections = 64;        // further ones wait in the backlog
+    std::size_t max_body_bytes = 64 * 1024;  // of a request
+    Duration reply_timeout{10'000'000};      // without a reply within this, the server sends 503
   };
   struct Callbacks {
-    // Answered with answer(), within this call or later. The caller asks nothing else before that.
+    // The owner calls send_reply(), within this call or later. The connection carries no other request before
+    // that.
     std::function<void(ConnectionId, const JsonRequest&)> on_request;
-    // A caller that was asked for is gone, or was answered for its owner; answer() does nothing any more.
+    // The connection closed before the reply, or the reply timed out; send_reply() has no effect any more.
     std::function<void(ConnectionId)> on_abandoned;
   };
 
-  // Throws std::system_error where it cannot listen. A Unix socket that a former life left is replaced.
-  JsonServer(Loop& loop, const Address& address, const Limits& limits, Callbacks told);
+  // Throws std::system_error where the address cannot be listened on. Replaces the file of a Unix socket that
+  // an earlier process left behind.
+  JsonServer(Loop& loop, const Address& address, const Limits& limits, Callbacks callbacks);
   ~JsonServer();
   JsonServer(const JsonServer&) = delete;
   JsonServer& operator=(const JsonServer&) = delete;
 
-  void send_reply(ConnectionId caller, const JsonReply& reply);
+  void send_reply(ConnectionId id, const JsonReply& reply);
   std::size_t connection_count() const { return connections_.size(); }
 
  private:
   struct Connection;
-  void came(Descriptor fd);
-  void arrived(Connection& connection);
-  void drained(Connection& connection);
-  void ask(Connection& connection);
-  void write(Connection& connection, const JsonReply& reply, bool stays);
+  void on_accepted(Descriptor fd);
+  void on_data(Connection& connection);
+  void on_drained(Connection& connection);
+  void dispatch(Connection& connection);
+  void write(Connection& connection, const JsonReply& reply, bool keep_alive);
   void drop(Connection& connection);
   void check(Connection& connection);
   void sweep();
@@ -67,9 +70,10 @@
   std::string path_;  // of a Unix socket's file
   std::unique_ptr<Listener> listener_;
   std::map<ConnectionId, std::unique_ptr<Connection>> connections_;
-  std::vector<std::unique_ptr<Connection>> graves_;
-  ConnectionId next_ = 1;
-  Loop::Timer sweep_{};
+  std::vector<std::unique_ptr<Connection>>
+      closed_;  // destroyed in a later turn, as their callbacks may be running
+  ConnectionId next_id_ = 1;
+  Loop::Timer sweep_timer_{};
 };
 
 }  // namespace marbledyke::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -9,25 +9,26 @@
 namespace marbledyke::net {
 
 namespace {
-constexpr int kAcceptsARound = 64;
+constexpr int kMaxAcceptsPerTurn = 64;
 }  // namespace
 
-Listener::Listener(Loop& loop, const Address& address, Callbacks told)
-    : loop_(loop), fd_(listen_on(address)), callbacks_(std::move(told)) {
+Listener::Listener(Loop& loop, const Address& address, Callbacks callbacks)
+    : loop_(loop), fd_(listen_on(address)), callbacks_(std::move(callbacks)) {
   if (!fd_) throw std::system_error(errno, std::generic_category(), address.text());
-  place_ = loop_.watch(fd_.get(), *this);
+  watch_id_ = loop_.watch(fd_.get(), *this);
 }
 
 void Listener::on_ready(bool, bool) { accept(); }
 
 void Listener::accept() {
   backlog_pending_ = true;
-  for (int count = 0; fd_ && count < kAcceptsARound; ++count) {
+  for (int count = 0; fd_ && count < kMaxAcceptsPerTurn; ++count) {
     if (!callbacks_.has_room()) return;
     Descriptor fd = accept_connection(fd_.get());
     if (!fd) {
       if (errno == EINTR || errno == ECONNABORTED) continue;
-      // Where there is neither a descriptor nor one to give up, it is tried again when one is.
+      // Without a descriptor, and with none that the owner could close, accepting is tried again once one is
+      // free.
       backlog_pending_ = errno != EAGAIN && errno != EWOULDBLOCK;
       if (errno == EMFILE || errno == ENFILE) {
         backlog_pending_ = has_pending_connection(fd_.get());
@@ -37,7 +38,7 @@
     }
     callbacks_.on_accepted(std::move(fd));
   }
-  resume();  // a flood waits its turn like everything else
+  resume();  // the rest of a burst waits for the next turn, so that other events are handled in between
 }
 
 void Listener::resume() {
@@ -51,14 +52,14 @@
 void Listener::stop() {
   if (!fd_) return;
   accept();
-  shut();
+  close();
 }
 
-void Listener::shut() {
+void Listener::close() {
   if (!fd_) return;
   if (accept_timer_) loop_.cancel(*accept_timer_);
   accept_timer_.reset();
-  loop_.unwatch(fd_.get(), place_);
+  loop_.unwatch(fd_.get(), watch_id_);
   fd_.close();
 }
 
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,4 +1,5 @@
-// A listening socket that hands over who connects: a bounded number a turn, and none while there is no room.
+// A listening socket that hands over accepted connections: a bounded number in each turn of the loop, and
+// none while the owner has no room.
 #pragma once
 
 #include <functional>
@@ -13,31 +14,33 @@
 class Listener final : public EventHandler {
  public:
   struct Callbacks {
-    std::function<bool()> has_room;         // before each accept; false: leave it in the backlog
-    std::function<bool()> free_descriptor;  // no descriptor is left; true: one was given up
+    std::function<bool()> has_room;  // asked before each accept; false leaves the connection in the backlog
+    std::function<bool()> free_descriptor;  // called when no descriptor is left; true: the owner closed one
     std::function<void(Descriptor)> on_accepted;
   };
   // Throws std::system_error where the address cannot be listened on.
-  Listener(Loop& loop, const Address& address, Callbacks told);
-  ~Listener() override { shut(); }
+  Listener(Loop& loop, const Address& address, Callbacks callbacks);
+  ~Listener() override { close(); }
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
-  void resume();  // there is room again, perhaps; takes effect in the next turn
-  void stop();    // takes who is in the backlog, as far as there is room, and closes
+  // Accepts again in the next turn, once there may be room.
+  void resume();
+  // Accepts what is in the backlog, as far as there is room, and closes the socket.
+  void stop();
   bool is_stopped() const { return !fd_; }
 
   void on_ready(bool readable, bool writable) override;
 
  private:
   void accept();
-  void shut();
+  void close();
 
   Loop& loop_;
   Descriptor fd_;
-  std::uint32_t place_ = 0;
+  std::uint32_t watch_id_ = 0;
   Callbacks callbacks_;
-  bool backlog_pending_ = false;  // somebody may be in the backlog
+  bool backlog_pending_ = false;  // the backlog may hold connections
   std::optional<Loop::Timer> accept_timer_;
 };
 
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -7,7 +7,7 @@
 
 namespace marbledyke::net {
 namespace {
-constexpr int kMostRounds = 64;  // of what is ready; then timers have their turn all the same
+constexpr int kMaxRoundsPerTurn = 64;  // of events; timers run after these even if more events are ready
 }  // namespace
 
 Loop::Loop(const TimeSource& clock)
@@ -15,106 +15,109 @@
   if (!epoll_) throw std::system_error(errno, std::generic_category(), "epoll_create1");
 }
 
-void Loop::report_long_turns(Duration limit, std::function<void(const Turn&)> told) {
+void Loop::report_long_turns(Duration limit, std::function<void(const Turn&)> on_long_turn) {
   long_turn_ = limit;
-  long_turn_told_ = std::move(told);
+  on_long_turn_ = std::move(on_long_turn);
 }
 
 void Loop::end_turn() {
-  const std::clock_t used = std::clock();
-  const std::chrono::duration<double> processor(static_cast<double>(used - std::exchange(used_, used)) /
-                                                CLOCKS_PER_SEC);
+  const std::clock_t cpu_used = std::clock();
+  const std::chrono::duration<double> cpu_time(
+      static_cast<double>(cpu_used - std::exchange(cpu_used_, cpu_used)) / CLOCKS_PER_SEC);
   if (!turn_began_) return;
-  const Duration took = now_ - *turn_began_;
-  longest_turn_ = std::max(longest_turn_, took);
-  if (took > long_turn_) long_turn_told_({took, std::chrono::duration_cast<Duration>(processor)});
+  const Duration duration = now_ - *turn_began_;
+  longest_turn_ = std::max(longest_turn_, duration);
+  if (duration > long_turn_) on_long_turn_({duration, std::chrono::duration_cast<Duration>(cpu_time)});
 }
 
 void Loop::read_clock() { now_ = clock_.steady() - start_; }
 
 std::uint32_t Loop::watch(int fd, EventHandler& handler) {
-  std::uint32_t place = static_cast<std::uint32_t>(places_.size());
+  std::uint32_t id = static_cast<std::uint32_t>(watches_.size());
   if (free_.empty()) {
-    places_.emplace_back();
+    watches_.emplace_back();
   } else {
-    place = free_.back();
+    id = free_.back();
     free_.pop_back();
   }
-  places_[place].watcher = &handler;
+  watches_[id].handler = &handler;
   epoll_event event{};
   event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
-  event.data.u64 = std::uint64_t{places_[place].generation} << 32 | place;
+  event.data.u64 = std::uint64_t{watches_[id].generation} << 32 | id;
   if (epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, fd, &event) != 0) {
-    unwatch(-1, place);
+    unwatch(-1, id);
     throw std::system_error(errno, std::generic_category(), "epoll_ctl");
   }
-  return place;
+  return id;
 }
 
-void Loop::unwatch(int fd, std::uint32_t place) {
+void Loop::unwatch(int fd, std::uint32_t id) {
   if (fd >= 0) epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr);
-  places_[place].watcher = nullptr;
-  ++places_[place].generation;  // an event of this round that still names the place is for nobody
-  free_.push_back(place);
+  watches_[id].handler = nullptr;
+  ++watches_[id].generation;  // events of this turn that still carry the id are ignored
+  free_.push_back(id);
 }
 
-Loop::Timer Loop::call_at(Duration when, std::function<void()> what) {
+Loop::Timer Loop::call_at(Duration when, std::function<void()> callback) {
   const Timer timer{when, next_timer_++};
-  timers_.emplace(timer, std::move(what));
+  timers_.emplace(timer, std::move(callback));
   return timer;
 }
 
-// What is ready now, or within that many milliseconds; nothing where the wait is interrupted.
-std::span<const epoll_event> Loop::wait(std::span<epoll_event> room, int patience) const {
-  const int count = epoll_wait(epoll_.get(), room.data(), static_cast<int>(room.size()), patience);
+// Returns the events that are ready or become ready within the timeout; none where the wait is interrupted.
+std::span<const epoll_event> Loop::wait(std::span<epoll_event> buffer, int timeout_ms) const {
+  const int count = epoll_wait(epoll_.get(), buffer.data(), static_cast<int>(buffer.size()), timeout_ms);
   if (count < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "epoll_wait");
-  return room.first(static_cast<std::size_t>(std::max(count, 0)));
+  return buffer.first(static_cast<std::size_t>(std::max(count, 0)));
 }
 
-void Loop::tell(std::span<const epoll_event> events) {
+void Loop::deliver(std::span<const epoll_event> events) {
   for (const epoll_event& event : events) {
-    const Place& place = places_[event.data.u64 & 0xffffffff];
-    if (place.watcher == nullptr || place.generation != event.data.u64 >> 32) continue;
-    const bool broken = (event.events & (EPOLLERR | EPOLLHUP)) != 0;
-    place.watcher->on_ready(broken || (event.events & (EPOLLIN | EPOLLRDHUP)) != 0,
-                            broken || (event.events & EPOLLOUT) != 0);
-    const Place& after = places_[event.data.u64 & 0xffffffff];  // the places may have moved
-    if ((broken || (event.events & EPOLLRDHUP) != 0) && after.watcher != nullptr &&
+    const Watch& watch = watches_[event.data.u64 & 0xffffffff];
+    if (watch.handler == nullptr || watch.generation != event.data.u64 >> 32) continue;
+    const bool failed = (event.events & (EPOLLERR | EPOLLHUP)) != 0;
+    watch.handler->on_ready(failed || (event.events & (EPOLLIN | EPOLLRDHUP)) != 0,
+                            failed || (event.events & EPOLLOUT) != 0);
+    const Watch& after =
+        watches_[event.data.u64 & 0xffffffff];  // the handler may have reallocated the vector
+    if ((failed || (event.events & EPOLLRDHUP) != 0) && after.handler != nullptr &&
         after.generation == event.data.u64 >> 32)
-      after.watcher->on_hang_up();
+      after.handler->on_hang_up();
   }
 }
 
 void Loop::run_once() {
-  int patience = -1;
+  int timeout_ms = -1;
   read_clock();
   end_turn();
-  const Duration waits_from = now_;
+  const Duration wait_began = now_;
   if (!timers_.empty()) {
     const Duration left =
         clock_.machine_time(std::max(timers_.begin()->first.first - now_, Duration::zero()));
-    patience = static_cast<int>(std::min<std::int64_t>((left.count() + 999) / 1000, 60'000));
+    timeout_ms = static_cast<int>(std::min<std::int64_t>((left.count() + 999) / 1000, 60'000));
   }
-  std::array<epoll_event, 256> room;  // not the loop's own: a turn may be taken within a turn
-  auto events = wait(room, patience);
+  std::array<epoll_event, 256> buffer;  // not a member: a handler may run a nested turn
+  auto events = wait(buffer, timeout_ms);
   read_clock();
-  turn_began_ = timers_.empty() ? now_ : std::clamp(timers_.begin()->first.first, waits_from, now_);
-  tell(events);
-  // A process that was stopped comes back out of its wait with nothing, or with what was there before, while
-  // its clock has gone on. So what has come in by now is read before any timer speaks: an answer that waits
-  // to be read is not one that did not come.
-  bool more = events.size() == room.size() || (!timers_.empty() && timers_.begin()->first.first <= now_);
-  for (int round = 0; more && round < kMostRounds; ++round) {
-    events = wait(room, 0);
-    tell(events);
-    more = events.size() == room.size();
+  turn_began_ = timers_.empty() ? now_ : std::clamp(timers_.begin()->first.first, wait_began, now_);
+  deliver(events);
+  // A process that was stopped returns from its wait with no events, or with those from before the stop,
+  // while its clock has gone on. All events that are ready by now are therefore delivered before any timer
+  // runs: a response that waits to be read must not count as missing.
+  bool more = events.size() == buffer.size() || (!timers_.empty() && timers_.begin()->first.first <= now_);
+  for (int round = 0; more && round < kMaxRoundsPerTurn; ++round) {
+    events = wait(buffer, 0);
+    deliver(events);
+    more = events.size() == buffer.size();
   }
-  // A timer set meanwhile waits for the next round, so that who always has more to do does not keep the rest.
-  const std::uint64_t later = next_timer_;
-  while (!timers_.empty() && timers_.begin()->first.first <= now_ && timers_.begin()->first.second < later) {
-    const std::function<void()> what = std::move(timers_.begin()->second);
+  // Timers that are set meanwhile run in the next turn, so that a callback which always sets another one
+  // cannot starve the other events.
+  const std::uint64_t first_of_next_turn = next_timer_;
+  while (!timers_.empty() && timers_.begin()->first.first <= now_ &&
+         timers_.begin()->first.second < first_of_next_turn) {
+    const std::function<void()> callback = std::move(timers_.begin()->second);
     timers_.erase(timers_.begin());
-    what();
+    callback();
   }
 }
 
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,5 +1,5 @@
-// The event loop: epoll, edge-triggered, with timers. Watchers are told what is ready; who wants a turn of
-// its own after that sets it from outside.
+// The event loop: edge-triggered epoll with timers. Handlers are told of readiness; the loop itself does no
+// I/O on the descriptors that it watches.
 #pragma once
 
 #include <sys/epoll.h>
@@ -19,68 +19,73 @@
 
 namespace marbledyke::net {
 
+// Receives the events of one descriptor.
 class EventHandler {
  public:
   virtual ~EventHandler() = default;
   virtual void on_ready(bool readable, bool writable) = 0;
-  virtual void on_hang_up() {}  // after ready(): the peer has ended its side, whether or not that was read
+  // Called after on_ready() where the peer has closed its side, whether or not the end was read.
+  virtual void on_hang_up() {}
 };
 
 class Loop {
  public:
-  using Timer = std::pair<Duration, std::uint64_t>;
+  using Timer = std::pair<Duration, std::uint64_t>;  // due time and sequence number
 
   explicit Loop(const TimeSource& clock = machine_clock());
 
   const TimeSource& clock() const { return clock_; }
 
-  // The clock of the present turn, read once in each; since the loop was made.
+  // The time of the present turn since the loop was made. The clock is read once in each turn, and by
+  // read_clock().
   Duration now() const { return now_; }
   void read_clock();
 
-  // A watch ends with forget(), which is safe while events of the same round are being told.
-  std::uint32_t watch(int fd, EventHandler& watcher);
-  void unwatch(int fd, std::uint32_t place);
+  // Watches a descriptor until unwatch() with the returned id. The handler has to live until then. unwatch()
+  // is safe while events of the same turn are being delivered.
+  std::uint32_t watch(int fd, EventHandler& handler);
+  void unwatch(int fd, std::uint32_t id);
 
-  Timer call_at(Duration when, std::function<void()> what);
+  // Calls a function once, in the first turn at or after a time.
+  Timer call_at(Duration when, std::function<void()> callback);
   void cancel(const Timer& timer) { timers_.erase(timer); }
 
-  // From when it was due, the time of a timer or the end of the wait, to the next wait.
+  // A turn lasts from the time at which its events or its first timer were due to the next wait.
   struct Turn {
     Duration duration{};
-    Duration cpu_time{};  // what the process used of it; much less than `took`: others had the machine
+    Duration cpu_time{};  // used by the process; much less than `duration` where other processes held the CPU
   };
-  // Whoever is given here is told at its end of each turn that took longer.
-  void report_long_turns(Duration limit, std::function<void(const Turn&)> told);
-  Duration take_longest_turn() {
-    return std::exchange(longest_turn_, Duration::zero());
-  }  // since the last time
+  // Calls on_long_turn at the end of each turn that exceeds the limit.
+  void report_long_turns(Duration limit, std::function<void(const Turn&)> on_long_turn);
+  // Returns the longest turn since the previous call.
+  Duration take_longest_turn() { return std::exchange(longest_turn_, Duration::zero()); }
 
-  // Waits for what is ready, until the next timer at the latest, and tells it.
+  // Runs one turn: waits for events, until the next timer at the latest, and delivers them and the timers
+  // due.
   void run_once();
 
  private:
-  struct Place {
-    EventHandler* watcher = nullptr;
-    std::uint32_t generation = 0;
+  struct Watch {
+    EventHandler* handler = nullptr;
+    std::uint32_t generation = 0;  // tells this use of the slot from former ones
   };
 
-  std::span<const epoll_event> wait(std::span<epoll_event> room, int patience) const;
-  void tell(std::span<const epoll_event> events);
+  std::span<const epoll_event> wait(std::span<epoll_event> buffer, int timeout_ms) const;
+  void deliver(std::span<const epoll_event> events);
   void end_turn();
 
   const TimeSource& clock_;
   Descriptor epoll_;
   Duration start_;
   Duration now_{};
-  std::vector<Place> places_;
+  std::vector<Watch> watches_;  // by id
   std::vector<std::uint32_t> free_;
   std::map<Timer, std::function<void()>> timers_;
   std::uint64_t next_timer_ = 0;
-  std::optional<Duration> turn_began_;  // none before the first
+  std::optional<Duration> turn_began_;  // none before the first turn
   Duration longest_turn_{}, long_turn_ = Duration::max();
-  std::clock_t used_ = std::clock();  // of the processor, until the present turn
-  std::function<void(const Turn&)> long_turn_told_;
+  std::clock_t cpu_used_ = std::clock();  // by the process, up to the present turn
+  std::function<void(const Turn&)> on_long_turn_;
 };
 
 }  // namespace marbledyke::net
--- a/src/net/ring_buffer.h
+++ b/src/net/ring_buffer.h
@@ -1,4 +1,4 @@
-// A ring buffer of bytes that grows by need up to a bound and gives its memory back once it is empty.
+// A ring buffer of bytes that grows on demand up to a bound and frees its memory once it is empty.
 #pragma once
 
 #include <algorithm>
@@ -11,41 +11,43 @@
 
 class RingBuffer {
  public:
-  explicit RingBuffer(std::size_t most) : max_size_(most) {}
+  // Holds at most max_size bytes.
+  explicit RingBuffer(std::size_t max_size) : max_size_(max_size) {}
 
   std::size_t size() const { return size_; }
   bool empty() const { return size_ == 0; }
   bool full() const { return size_ == max_size_; }
 
-  // The first unbroken run of what is held.
+  // Returns the first contiguous run of the bytes held; valid until the next change.
   std::string_view front() const { return {bytes_.get() + start_, std::min(size_, capacity_ - start_)}; }
 
+  // Removes bytes from the front; count is at most size().
   void consume(std::size_t count) {
     size_ -= count;
     start_ = size_ == 0 ? 0 : (start_ + count) % capacity_;
-    if (size_ == 0 && capacity_ > kSmall) {
+    if (size_ == 0 && capacity_ > kMinCapacity) {
       bytes_.reset();
       capacity_ = 0;
     }
   }
 
-  // An unbroken run to write to, of at least one byte unless the ring is full; filled() says how much was
-  // used.
+  // Returns a contiguous run to write to, of at least one byte unless the buffer is full. commit() then says
+  // how many bytes of it were written.
   std::span<char> prepare() {
     if (size_ == capacity_) grow(size_ + 1);
     const std::size_t end = (start_ + size_) % std::max<std::size_t>(capacity_, 1);
-    const std::size_t most = end < start_ ? start_ - end : capacity_ - end;
-    return {bytes_.get() + end, std::min(most, capacity_ - size_)};
+    const std::size_t contiguous = end < start_ ? start_ - end : capacity_ - end;
+    return {bytes_.get() + end, std::min(contiguous, capacity_ - size_)};
   }
   void commit(std::size_t count) { size_ += count; }
 
-  // False, and nothing is taken, where the bound does not allow it.
+  // Appends the whole text, or nothing where it would exceed the bound. Returns whether it was appended.
   bool append(std::string_view text) {
     if (text.size() > max_size_ - size_) return false;
     if (size_ + text.size() > capacity_) grow(size_ + text.size());
     while (!text.empty()) {
-      const std::span<char> to = prepare();
-      const std::size_t count = text.copy(to.data(), to.size());
+      const std::span<char> target = prepare();
+      const std::size_t count = text.copy(target.data(), target.size());
       commit(count);
       text.remove_prefix(count);
     }
@@ -55,19 +57,19 @@
   void clear() { consume(size_); }
 
  private:
-  static constexpr std::size_t kSmall = 4096;
+  static constexpr std::size_t kMinCapacity = 4096;
 
-  void grow(std::size_t want) {
-    if (want > max_size_) return;
-    std::size_t room = std::max(capacity_, kSmall);
-    while (room < want) room *= 2;
-    room = std::min(room, std::max(max_size_, want));
-    auto bytes = std::make_unique<char[]>(room);
+  void grow(std::size_t wanted) {
+    if (wanted > max_size_) return;
+    std::size_t capacity = std::max(capacity_, kMinCapacity);
+    while (capacity < wanted) capacity *= 2;
+    capacity = std::min(capacity, std::max(max_size_, wanted));
+    auto bytes = std::make_unique<char[]>(capacity);
     const std::size_t first = std::min(size_, capacity_ - start_);
     std::copy_n(bytes_.get() + start_, first, bytes.get());
     std::copy_n(bytes_.get(), size_ - first, bytes.get() + first);
     bytes_ = std::move(bytes);
-    capacity_ = room;
+    capacity_ = capacity;
     start_ = 0;
   }
 
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -9,73 +9,75 @@
 namespace marbledyke::net {
 namespace {
 
-// Local sockets know no such option and need none.
-void send_at_once(int fd) {
+// Turns Nagle's algorithm off. Fails without harm on Unix sockets, which have no such option.
+void disable_nagle(int fd) {
   const int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
-Descriptor open_for(const sockaddr_storage& address) {
+Descriptor open_socket(const sockaddr_storage& address) {
   return Descriptor(socket(address.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
 }
 
-const sockaddr* plain(const sockaddr_storage& address) { return reinterpret_cast<const sockaddr*>(&address); }
+const sockaddr* as_sockaddr(const sockaddr_storage& address) {
+  return reinterpret_cast<const sockaddr*>(&address);
+}
 
 }  // namespace
 
 Descriptor listen_on(const Address& address) {
-  sockaddr_storage own;
-  const socklen_t size = address.to_sockaddr(own);
-  Descriptor fd = open_for(own);
+  sockaddr_storage local;
+  const socklen_t size = address.to_sockaddr(local);
+  Descriptor fd = open_socket(local);
   if (!fd) return fd;
   const int on = 1;
   setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  // An address of one family listens for that family only, whatever the machine's default.
+  // An IPv6 listener takes no IPv4 connections, whatever the system's default.
   if (address.family() == Family::ip6) setsockopt(fd.get(), IPPROTO_IPV6, IPV6_V6ONLY, &on, sizeof on);
-  if (bind(fd.get(), plain(own), size) != 0 || listen(fd.get(), SOMAXCONN) != 0) return {};
+  if (bind(fd.get(), as_sockaddr(local), size) != 0 || listen(fd.get(), SOMAXCONN) != 0) return {};
   return fd;
 }
 
 Descriptor start_connect(const Address& to) {
   sockaddr_storage peer;
   const socklen_t size = to.to_sockaddr(peer);
-  Descriptor fd = open_for(peer);
+  Descriptor fd = open_socket(peer);
   if (!fd) return fd;
-  if (to.family() != Family::local) send_at_once(fd.get());
-  if (connect(fd.get(), plain(peer), size) != 0 && errno != EINPROGRESS && errno != EINTR) {
-    const int why = errno;
+  if (to.family() != Family::local) disable_nagle(fd.get());
+  if (connect(fd.get(), as_sockaddr(peer), size) != 0 && errno != EINPROGRESS && errno != EINTR) {
+    const int reason = errno;
     fd.close();
-    errno = why;
+    errno = reason;
   }
   return fd;
 }
 
 Descriptor accept_connection(int listener) {
   Descriptor fd(accept4(listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-  if (fd) send_at_once(fd.get());
+  if (fd) disable_nagle(fd.get());
   return fd;
 }
 
 bool has_pending_connection(int listener) {
-  pollfd waits{listener, POLLIN, 0};
-  return poll(&waits, 1, 0) > 0;
+  pollfd polled{listener, POLLIN, 0};
+  return poll(&polled, 1, 0) > 0;
 }
 
-Stream::Stream(Loop& loop, Descriptor fd, bool connected, std::size_t most_in, std::size_t most_out,
-               Callbacks told)
+Stream::Stream(Loop& loop, Descriptor fd, bool connected, std::size_t max_in, std::size_t max_out,
+               Callbacks callbacks)
     : loop_(loop),
       fd_(std::move(fd)),
-      place_(loop.watch(fd_.get(), *this)),
+      watch_id_(loop.watch(fd_.get(), *this)),
       connected_(connected),
-      in_(most_in),
-      out_(most_out),
-      callbacks_(std::move(told)) {}
+      in_(max_in),
+      out_(max_out),
+      callbacks_(std::move(callbacks)) {}
 
 Stream::~Stream() { close(); }
 
 void Stream::close() {
   if (!fd_) return;
-  loop_.unwatch(fd_.get(), place_);
+  loop_.unwatch(fd_.get(), watch_id_);
   fd_.close();
   in_.clear();
   out_.clear();
@@ -86,21 +88,21 @@
 }
 
 void Stream::end(bool reset) {
-  const bool was = connected_;
+  const bool was_connected = connected_;
   reset_ = reset;
   close();
-  if (callbacks_.on_ended) callbacks_.on_ended(was);
+  if (callbacks_.on_ended) callbacks_.on_ended(was_connected);
 }
 
 void Stream::on_ready(bool readable, bool writable) {
   if (!connected_) {
     if (!writable && !readable) return;
-    int wrong = 0;
-    socklen_t size = sizeof wrong;
+    int error = 0;
+    socklen_t size = sizeof error;
     sockaddr_storage peer{};
     socklen_t peer_size = sizeof peer;
-    if (getsockopt(fd_.get(), SOL_SOCKET, SO_ERROR, &wrong, &size) != 0 || wrong != 0) return end(true);
-    // Not yet connected is told as ENOTCONN without an error pending.
+    if (getsockopt(fd_.get(), SOL_SOCKET, SO_ERROR, &error, &size) != 0 || error != 0) return end(true);
+    // A connect still in progress has no pending error, and getpeername() fails with ENOTCONN.
     if (getpeername(fd_.get(), reinterpret_cast<sockaddr*>(&peer), &peer_size) != 0) return;
     connected_ = true;
     if (callbacks_.on_connected) callbacks_.on_connected();
@@ -108,23 +110,23 @@
   }
   if (writable && !out_.empty()) flush();
   if (readable && !is_closed()) {
-    left_unread_ = true;
+    unread_ = true;
     resume_reading();
   }
 }
 
 void Stream::resume_reading() {
-  while (left_unread_ && !is_closed()) {
-    if (in_.full()) return;  // the owner reads on once it has taken something
-    const std::span<char> gap = in_.prepare();
-    const ssize_t got = recv(fd_.get(), gap.data(), gap.size(), 0);
-    if (got > 0) {
-      in_.commit(static_cast<std::size_t>(got));
+  while (unread_ && !is_closed()) {
+    if (in_.full()) return;  // the owner calls resume_reading() once it has taken bytes
+    const std::span<char> free = in_.prepare();
+    const ssize_t received = recv(fd_.get(), free.data(), free.size(), 0);
+    if (received > 0) {
+      in_.commit(static_cast<std::size_t>(received));
       if (callbacks_.on_data) callbacks_.on_data();
-    } else if (got == 0) {
+    } else if (received == 0) {
       return end(false);
     } else if (errno == EAGAIN || errno == EWOULDBLOCK) {
-      left_unread_ = false;
+      unread_ = false;
     } else if (errno != EINTR) {
       return end(true);
     }
@@ -132,18 +134,18 @@
 }
 
 void Stream::read_available() {
-  left_unread_ = connected_;
+  unread_ = connected_;
   resume_reading();
 }
 
-// With the ring full the end is behind bytes that nobody reads before the owner has done with those before
-// them, which may take as long as an answer: the peer has gone all the same.
+// While in() is full, the end of the stream lies behind unread bytes, and the owner may take as long as a
+// whole answer before it makes room for them. The hang-up is therefore reported at once.
 void Stream::on_hang_up() {
   if (connected_ && in_.full() && !is_closed()) end(true);
 }
 
 void Stream::flush() {
-  // Whoever is told that all is out may put in more: that is written by this same loop, not by a deeper one.
+  // on_drained may append more and flush again. The loop below writes that, rather than a nested call.
   if (!connected_ || flushing_) return;
   flushing_ = true;
   while (!is_closed() && !out_.empty()) {
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -1,4 +1,4 @@
-// Sockets, and a stream: a connected socket with one ring buffer a direction.
+// Non-blocking sockets, and a stream: a connected socket with one ring buffer for each direction.
 #pragma once
 
 #include <cstdint>
@@ -11,26 +11,28 @@
 
 namespace marbledyke::net {
 
-// All of these are non-blocking. An empty descriptor leaves the reason in errno. A local socket whose backlog
-// is full ends a connect with EAGAIN: it is not under way.
+// These functions return an empty descriptor on failure, with the reason in errno. A connect to a Unix socket
+// whose backlog is full fails at once with EAGAIN; it is not left in progress.
 Descriptor listen_on(const Address& address);
 Descriptor start_connect(const Address& to);
 Descriptor accept_connection(int listener);
-// With no descriptor left, accepting fails before it looks whether there is anybody to accept.
+// Whether the listener's backlog holds a connection. Without a free descriptor accept() fails before it looks
+// at the backlog, so its error does not tell.
 bool has_pending_connection(int listener);
 
 class Stream final : public EventHandler {
  public:
-  // What its owner is told; the owner may close the stream, but not destroy it, while it is being told.
+  // The owner may close the stream within a callback, but not destroy it.
   struct Callbacks {
-    std::function<void()> on_connected;            // a connect came through
-    std::function<void()> on_data;                 // there are new bytes in in()
-    std::function<void()> on_drained;              // all of out() is written
+    std::function<void()> on_connected;
+    std::function<void()> on_data;                 // in() holds new bytes
+    std::function<void()> on_drained;              // all of out() has been written
     std::function<void(bool connected)> on_ended;  // the peer closed, or the connection failed
   };
 
-  Stream(Loop& loop, Descriptor fd, bool connected, std::size_t most_in, std::size_t most_out,
-         Callbacks told);
+  // `connected` is false for a connect in progress. in() holds at most max_in bytes, out() at most max_out.
+  Stream(Loop& loop, Descriptor fd, bool connected, std::size_t max_in, std::size_t max_out,
+         Callbacks callbacks);
   ~Stream() override;
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
@@ -39,13 +41,19 @@
   RingBuffer& out() { return out_; }
   bool is_connected() const { return connected_; }
   bool is_closed() const { return !fd_; }
-  bool was_reset() const { return reset_; }  // it ended otherwise than by the peer's orderly close
+  // Whether the stream ended otherwise than by the peer's orderly close.
+  bool was_reset() const { return reset_; }
 
-  void flush();           // writes what the socket takes; tells drained once all is out
-  void resume_reading();  // reads after the owner had left the ring full
-  void read_available();  // reads what has come, whether or not the loop has told of it yet
-  void close();           // at once, without being told
-  void shutdown_write();  // no more from this side; what the peer still sends is dropped
+  // Writes as much of out() as the socket takes, and calls on_drained once all of it is written.
+  void flush();
+  // Continues to read after the owner has taken bytes from a full in().
+  void resume_reading();
+  // Reads what has arrived, whether or not the loop has reported it yet.
+  void read_available();
+  // Closes at once and drops both buffers, without a callback.
+  void close();
+  // Ends this side of the connection. Bytes that the peer still sends are read as before.
+  void shutdown_write();
 
   void on_ready(bool readable, bool writable) override;
   void on_hang_up() override;
@@ -55,11 +63,11 @@
 
   Loop& loop_;
   Descriptor fd_;
-  std::uint32_t place_;
+  std::uint32_t watch_id_;
   bool connected_;
   bool flushing_ = false;
   bool reset_ = false;
-  bool left_unread_ = false;  // an edge came while the ring was full
+  bool unread_ = false;  // the socket may hold bytes that were not read, as epoll reports edges only
   RingBuffer in_, out_;
   Callbacks callbacks_;
 };
