--- a/src/addresses/address_book.cpp
+++ b/src/addresses/address_book.cpp
@@ -6,29 +6,27 @@
 namespace marbledyke::addresses {
 namespace {
 
-using namespace std::chrono_literals;
-
-// RFC 6298's weights for the smoothed time and its spread, and its margin.
-constexpr int kSmoothing = 8, kSpreading = 4, kMargin = 4;
-// A fault counts on from the former ones unless the address stayed sound for so many of its last holds: one
-// that flaps is held longer each time.
+// The weights and the margin by which RFC 6298 smooths a measured time and its variation.
+constexpr int kTimeWeight = 8, kSpreadWeight = 4, kSpreadMargin = 4;
+// Faults accumulate unless the address had none for this many times its last hold, so that an address that
+// flaps is held longer each time.
 constexpr int kQuietHolds = 2;
-constexpr int kMostDoublings = 16;
+constexpr int kMaxDoublings = 16;
 
 }  // namespace
 
-std::string_view name_of(AttemptOutcome end) {
+std::string_view name_of(AttemptOutcome outcome) {
   static constexpr std::array<std::string_view, 7> kNames{"came_up", "refused", "hung",      "reset_early",
                                                           "silent",  "no_room", "not_needed"};
-  return kNames[static_cast<std::size_t>(end)];
+  return kNames[static_cast<std::size_t>(outcome)];
 }
 
 // ---- membership ----
 
-void AddressBook::begin_update(bool whole) {
-  ++news_;
-  whole_ = whole;
-  if (!whole) return;
+void AddressBook::begin_update(bool snapshot) {
+  ++update_;
+  snapshot_ = snapshot;
+  if (!snapshot) return;
   for (auto& [name, server] : servers_) server.seen = false;
 }
 
@@ -37,7 +35,7 @@
   server.seen = true;
   server.up = up;
   server.listed = std::move(addresses);
-  merge(name, server, news_);
+  merge(name, server, update_);
 }
 
 void AddressBook::keep_server(std::string_view name) {
@@ -48,75 +46,76 @@
 void AddressBook::remove_server(const std::string& name) {
   const auto at = servers_.find(name);
   if (at == servers_.end()) return;
-  for (Known& known : at->second.known) {
-    forget_doubt(name, known);
-    unclaim(name, known.address);
+  for (AddressState& state : at->second.addresses) {
+    clear_doubt(name, state);
+    remove_claim(name, state.address);
   }
   servers_.erase(at);
 }
 
 void AddressBook::finish_update() {
-  if (!whole_) return;
-  std::vector<std::string> unnamed;
+  if (!snapshot_) return;
+  std::vector<std::string> not_named;
   for (const auto& [name, server] : servers_) {
-    if (!server.seen) unnamed.push_back(name);
+    if (!server.seen) not_named.push_back(name);
   }
-  for (const std::string& name : unnamed) remove_server(name);
+  for (const std::string& name : not_named) remove_server(name);
 }
 
-void AddressBook::configure(const ConnectSettings& rules,
-                            std::map<std::string, ServerOverride, std::less<>> configured) {
-  rules_ = rules;
-  configured_ = std::move(configured);
-  ++news_;
-  for (auto& [name, server] : servers_) merge(name, server, news_);
+void AddressBook::configure(const ConnectSettings& settings,
+                            std::map<std::string, ServerOverride, std::less<>> overrides) {
+  settings_ = settings;
+  overrides_ = std::move(overrides);
+  ++update_;
+  for (auto& [name, server] : servers_) merge(name, server, update_);
 }
 
-// The list's addresses and the operator's, each once. Whatever stays keeps what is known of it.
-void AddressBook::merge(const std::string& name, Server& server, std::uint64_t stamp) {
+// Joins the list's addresses and the operator's, each once. Addresses that remain keep their state.
+void AddressBook::merge(const std::string& name, Server& server, std::uint64_t update) {
   std::vector<Address> all = server.listed;
-  if (const auto at = configured_.find(name); at != configured_.end()) {
+  if (const auto at = overrides_.find(name); at != overrides_.end()) {
     if (at->second.replaces_listed) all.clear();
     all.insert(all.end(), at->second.addresses.begin(), at->second.addresses.end());
   }
-  std::vector<Known> known;
+  std::vector<AddressState> merged;
   for (const Address& address : all) {
-    const auto is = [&](const Known& one) { return one.address == address; };
-    if (std::any_of(known.begin(), known.end(), is) || known.size() == kMaxAddressesPerServer) continue;
-    const auto old = std::find_if(server.known.begin(), server.known.end(), is);
-    if (old != server.known.end()) {
-      known.push_back(*old);
+    const auto is = [&](const AddressState& one) { return one.address == address; };
+    if (std::any_of(merged.begin(), merged.end(), is) || merged.size() == kMaxAddressesPerServer) continue;
+    const auto old = std::find_if(server.addresses.begin(), server.addresses.end(), is);
+    if (old != server.addresses.end()) {
+      merged.push_back(*old);
     } else {
-      Known fresh;
+      AddressState fresh;
       fresh.address = address;
-      fresh.claimed = stamp;
-      known.push_back(fresh);
+      fresh.claimed = update;
+      merged.push_back(fresh);
       auto& claims = claims_[address];
-      claims[name] = stamp;
+      claims[name] = update;
       if (claims.size() > 1) counters_.contested += 1;
     }
   }
-  for (Known& old : server.known) {
-    const auto is = [&](const Known& one) { return one.address == old.address; };
-    if (std::any_of(known.begin(), known.end(), is)) continue;
-    forget_doubt(name, old);
-    unclaim(name, old.address);
+  for (AddressState& old : server.addresses) {
+    const auto is = [&](const AddressState& one) { return one.address == old.address; };
+    if (std::any_of(merged.begin(), merged.end(), is)) continue;
+    clear_doubt(name, old);
+    remove_claim(name, old.address);
   }
-  server.known = std::move(known);
-  // Where one address is left there is nothing to choose, and nothing to try beside parts.
-  if (server.known.size() == 1) forget_doubt(name, server.known.front());
+  server.addresses = std::move(merged);
+  // A single address leaves no choice, so it is never in doubt and needs no trials.
+  if (server.addresses.size() == 1) clear_doubt(name, server.addresses.front());
 }
 
-void AddressBook::unclaim(const std::string& server, const Address& address) {
+void AddressBook::remove_claim(const std::string& server, const Address& address) {
   const auto at = claims_.find(address);
   if (at == claims_.end()) return;
   at->second.erase(server);
   if (at->second.empty()) claims_.erase(at);
 }
 
-// An address named for two servers leads to one of them at most. The newer claim holds: it has moved. Where
-// both came in one piece of news neither holds, since a part at the wrong server is worse than a detour.
-bool AddressBook::contested(const std::string& server, const Address& address) const {
+// An address that is named for two servers can reach only one of them. The newer claim holds, since the
+// address has moved. Where both came in one update neither holds: a part at the wrong server is worse than a
+// detour.
+bool AddressBook::is_contested(const std::string& server, const Address& address) const {
   const auto at = claims_.find(address);
   if (at == claims_.end() || at->second.size() < 2) return false;
   const std::uint64_t own = at->second.find(server)->second;
@@ -127,24 +126,25 @@
 bool AddressBook::is_usable(std::string_view name, const Address& address) const {
   const auto at = servers_.find(name);
   if (at == servers_.end()) return false;
-  const std::vector<Known>& known = at->second.known;
-  if (std::none_of(known.begin(), known.end(), [&](const Known& one) { return one.address == address; }))
+  const std::vector<AddressState>& states = at->second.addresses;
+  if (std::none_of(states.begin(), states.end(),
+                   [&](const AddressState& one) { return one.address == address; }))
     return false;
-  return known.size() == 1 || !contested(at->first, address);
+  return states.size() == 1 || !is_contested(at->first, address);
 }
 
-// Sound before doubted; the sound ones by the operator's preference and then as they were named, the doubted
-// ones by how long they have been left alone.
-std::vector<const AddressBook::Known*> AddressBook::ranked(std::string_view name) const {
-  std::vector<const Known*> out;
+// Returns the usable addresses: first those not in doubt, by the operator's preferred family and then in the
+// order in which they were named, then those in doubt, the one whose last fault is oldest first.
+std::vector<const AddressBook::AddressState*> AddressBook::ranked(std::string_view name) const {
+  std::vector<const AddressState*> out;
   const auto at = servers_.find(name);
   if (at == servers_.end()) return out;
-  for (const Known& known : at->second.known) {
-    if (at->second.known.size() == 1 || !contested(at->first, known.address)) out.push_back(&known);
+  for (const AddressState& state : at->second.addresses) {
+    if (at->second.addresses.size() == 1 || !is_contested(at->first, state.address)) out.push_back(&state);
   }
-  std::stable_sort(out.begin(), out.end(), [&](const Known* a, const Known* b) {
-    if (a->doubted != b->doubted) return b->doubted;
-    if (a->doubted) return a->last_fault < b->last_fault;
+  std::stable_sort(out.begin(), out.end(), [&](const AddressState* a, const AddressState* b) {
+    if (a->in_doubt != b->in_doubt) return b->in_doubt;
+    if (a->in_doubt) return a->last_fault < b->last_fault;
     return preference(a->address.family()) < preference(b->address.family());
   });
   return out;
@@ -152,20 +152,20 @@
 
 std::vector<Address> AddressBook::dial_order(std::string_view server) const {
   std::vector<Address> out;
-  for (const Known* known : ranked(server)) out.push_back(known->address);
+  for (const AddressState* state : ranked(server)) out.push_back(state->address);
   return out;
 }
 
 std::size_t AddressBook::preference(Family family) const {
-  return static_cast<std::size_t>(std::find(rules_.prefer.begin(), rules_.prefer.end(), family) -
-                                  rules_.prefer.begin());
+  return static_cast<std::size_t>(std::find(settings_.prefer.begin(), settings_.prefer.end(), family) -
+                                  settings_.prefer.begin());
 }
 
-AddressBook::Known* AddressBook::find(std::string_view name, const Address& address) {
+AddressBook::AddressState* AddressBook::find(std::string_view name, const Address& address) {
   const auto at = servers_.find(name);
   if (at == servers_.end()) return nullptr;
-  for (Known& known : at->second.known) {
-    if (known.address == address) return &known;
+  for (AddressState& state : at->second.addresses) {
+    if (state.address == address) return &state;
   }
   return nullptr;
 }
@@ -178,7 +178,7 @@
   race.left = dial_order(server);
   race.several = race.left.size() > 1;
   std::reverse(race.left.begin(), race.left.end());
-  race.limit = now + (race.several ? std::max(rules_.race, rules_.attempt) : rules_.attempt);
+  race.limit = now + (race.several ? std::max(settings_.race, settings_.attempt) : settings_.attempt);
   counters_.races += 1;
   const RaceId id = next_race_++;
   races_.emplace(id, std::move(race));
@@ -195,34 +195,34 @@
     return step;
   };
   if (race.decided) return lost();
-  int out = 0;
-  Duration wake = race.limit;
+  int pending = 0;
+  Duration wait_until = race.limit;
   for (Attempt& attempt : race.attempts) {
-    if (!attempt.out) continue;
+    if (!attempt.pending) continue;
     if (now >= attempt.limit) {
       step.action = RaceStep::Action::abandon;
       step.attempt = attempt.number;
       on_attempt_ended(id, attempt.number, AttemptOutcome::timed_out, now);
       return step;
     }
-    ++out;
-    wake = std::min(wake, attempt.limit);
+    ++pending;
+    wait_until = std::min(wait_until, attempt.limit);
   }
   if (now >= race.limit) return lost();
-  // What the list took away while this race was on is not dialled any more.
+  // Addresses that the list has removed since the race began are skipped.
   while (!race.left.empty() && !is_usable(race.server, race.left.back())) race.left.pop_back();
-  if (race.left.empty() && out == 0) return lost();
-  if (!race.left.empty() && out < rules_.at_once) {
+  if (race.left.empty() && pending == 0) return lost();
+  if (!race.left.empty() && pending < settings_.at_once) {
     const Duration due =
-        out == 0 || race.hurry ? now : race.attempts.back().started + race.attempts.back().stagger;
+        pending == 0 || race.hurry ? now : race.attempts.back().started + race.attempts.back().stagger;
     if (now >= due) {
-      Known& known = *find(race.server, race.left.back());
+      AddressState& state = *find(race.server, race.left.back());
       Attempt attempt;
       attempt.number = static_cast<int>(race.attempts.size());
-      attempt.to = known.address;
+      attempt.to = state.address;
       attempt.started = now;
-      attempt.limit = std::min(now + rules_.attempt, race.limit);
-      attempt.stagger = known.doubted ? rules_.stagger_least : stagger_for(known);
+      attempt.limit = std::min(now + settings_.attempt, race.limit);
+      attempt.stagger = state.in_doubt ? settings_.stagger_least : stagger_for(state);
       race.left.pop_back();
       race.attempts.push_back(attempt);
       race.hurry = false;
@@ -230,167 +230,169 @@
       step.action = RaceStep::Action::dial;
       step.attempt = attempt.number;
       step.to = attempt.to;
-      step.needs_proof = race.several && (rules_.prove == ProofPolicy::always ||
-                                          (rules_.prove == ProofPolicy::in_doubt && !known.proven));
+      step.needs_proof = race.several && (settings_.prove == ProofPolicy::always ||
+                                          (settings_.prove == ProofPolicy::in_doubt && !state.proven));
       return step;
     }
-    wake = std::min(wake, due);
+    wait_until = std::min(wait_until, due);
   }
-  step.wait_until = wake;
+  step.wait_until = wait_until;
   return step;
 }
 
-void AddressBook::on_attempt_ended(RaceId id, int number, AttemptOutcome end, Duration now) {
+void AddressBook::on_attempt_ended(RaceId id, int number, AttemptOutcome outcome, Duration now) {
   Race& race = races_.at(id);
   Attempt& attempt = race.attempts[static_cast<std::size_t>(number)];
-  if (!attempt.out) return;
-  attempt.out = false;
-  Known* const known = find(race.server, attempt.to);
-  if (end == AttemptOutcome::connected) {
+  if (!attempt.pending) return;
+  attempt.pending = false;
+  AddressState* const state = find(race.server, attempt.to);
+  if (outcome == AttemptOutcome::connected) {
     race.decided = true;
     if (number > 0) counters_.second_choice += 1;
-    if (known == nullptr || !race.several) return;
-    learn(*known, now - attempt.started);
-    // One that lost its head start is in doubt until a trial of its own passes; otherwise each new connection
-    // would wait for it anew.
+    if (state == nullptr || !race.several) return;
+    record_connect_time(*state, now - attempt.started);
+    // An attempt that did not connect before the next one was due to start puts its address in doubt until a
+    // trial passes; otherwise every new connection would wait for it again.
     for (Attempt& other : race.attempts) {
-      if (!other.out || now - other.started < other.stagger) continue;
-      if (Known* const slow = find(race.server, other.to)) fault(race.server, *slow, now);
+      if (!other.pending || now - other.started < other.stagger) continue;
+      if (AddressState* const slow = find(race.server, other.to)) record_fault(race.server, *slow, now);
     }
-    forget_doubt(race.server, *known);
-    good(*known);
+    clear_doubt(race.server, *state);
+    mark_proven(*state);
     return;
   }
-  if (end == AttemptOutcome::no_local_resources || end == AttemptOutcome::not_needed) {
+  if (outcome == AttemptOutcome::no_local_resources || outcome == AttemptOutcome::not_needed) {
     race.hurry = true;
     return;
   }
   race.hurry = true;
-  if (known != nullptr && race.several) fault(race.server, *known, now);
+  if (state != nullptr && race.several) record_fault(race.server, *state, now);
 }
 
 void AddressBook::end_race(RaceId race) { races_.erase(race); }
 
-Duration AddressBook::stagger_for(const Known& known) const {
-  if (known.smoothed == Duration::zero()) return rules_.stagger;
-  return std::clamp(known.smoothed + kMargin * known.spread, rules_.stagger_least, rules_.stagger);
+Duration AddressBook::stagger_for(const AddressState& state) const {
+  if (state.smoothed == Duration::zero()) return settings_.stagger;
+  return std::clamp(state.smoothed + kSpreadMargin * state.spread, settings_.stagger_least,
+                    settings_.stagger);
 }
 
-void AddressBook::learn(Known& known, Duration took) {
-  took = std::max(took, Duration(1));
-  if (known.smoothed == Duration::zero()) {
-    known.smoothed = took;
-    known.spread = took / 2;
+void AddressBook::record_connect_time(AddressState& state, Duration connect_time) {
+  connect_time = std::max(connect_time, Duration(1));
+  if (state.smoothed == Duration::zero()) {
+    state.smoothed = connect_time;
+    state.spread = connect_time / 2;
     return;
   }
-  const Duration off = took > known.smoothed ? took - known.smoothed : known.smoothed - took;
-  known.spread += (off - known.spread) / kSpreading;
-  known.smoothed += (took - known.smoothed) / kSmoothing;
+  const Duration deviation =
+      connect_time > state.smoothed ? connect_time - state.smoothed : state.smoothed - connect_time;
+  state.spread += (deviation - state.spread) / kSpreadWeight;
+  state.smoothed += (connect_time - state.smoothed) / kTimeWeight;
 }
 
-// ---- what is known ----
+// ---- state of an address ----
 
-void AddressBook::good(Known& known) { known.proven = true; }
+void AddressBook::mark_proven(AddressState& state) { state.proven = true; }
 
-void AddressBook::fault(const std::string& server, Known& known, Duration now) {
+void AddressBook::record_fault(const std::string& server, AddressState& state, Duration now) {
   const auto at = servers_.find(server);
-  if (at == servers_.end() || at->second.known.size() < 2) return;
-  if (known.doubted && known.retry_at > now && !known.on_trial) {
-    known.last_fault = now;  // a last resort that failed as well: its hold goes on
+  if (at == servers_.end() || at->second.addresses.size() < 2) return;
+  if (state.in_doubt && state.retry_at > now && !state.on_trial) {
+    state.last_fault = now;  // an address in doubt, dialled as a last resort, has failed: its hold goes on
     return;
   }
-  known.faults = now - known.last_fault > kQuietHolds * known.hold ? 1 : known.faults + 1;
-  Duration hold = rules_.hold;
-  for (int i = 1; i < std::min(known.faults, kMostDoublings) && hold < rules_.hold_most; ++i) hold *= 2;
-  hold = std::min(hold, rules_.hold_most);
-  known.hold = hold;
-  known.last_fault = now;
-  known.proven = false;
-  if (!known.doubted) counters_.doubts += 1;
-  forget_doubt(server, known);
-  known.doubted = true;
-  // A fifth earlier or later, so that addresses which failed together are not tried together.
-  const auto spread = static_cast<std::uint32_t>(hold.count() * 2 / 5 + 1);
-  known.retry_at = now + hold * 4 / 5 + Duration(static_cast<std::int64_t>(chance_() % spread));
-  due_.insert({known.retry_at, {server, known.address}});
+  state.faults = now - state.last_fault > kQuietHolds * state.hold ? 1 : state.faults + 1;
+  Duration hold = settings_.hold;
+  for (int i = 1; i < std::min(state.faults, kMaxDoublings) && hold < settings_.hold_most; ++i) hold *= 2;
+  hold = std::min(hold, settings_.hold_most);
+  state.hold = hold;
+  state.last_fault = now;
+  state.proven = false;
+  if (!state.in_doubt) counters_.doubts += 1;
+  clear_doubt(server, state);
+  state.in_doubt = true;
+  // Jitter of 20% either way keeps addresses that failed together from being tried together.
+  const auto jitter_range = static_cast<std::uint32_t>(hold.count() * 2 / 5 + 1);
+  state.retry_at = now + hold * 4 / 5 + Duration(static_cast<std::int64_t>(random_() % jitter_range));
+  due_.insert({state.retry_at, {server, state.address}});
 }
 
-void AddressBook::forget_doubt(const std::string& server, Known& known) {
-  if (!known.doubted) return;
-  due_.erase({known.retry_at, {server, known.address}});
-  known.doubted = false;
+void AddressBook::clear_doubt(const std::string& server, AddressState& state) {
+  if (!state.in_doubt) return;
+  due_.erase({state.retry_at, {server, state.address}});
+  state.in_doubt = false;
 }
 
 void AddressBook::on_response(std::string_view server, const Address& address) {
-  if (Known* const known = find(server, address)) good(*known);
+  if (AddressState* const state = find(server, address)) mark_proven(*state);
 }
 
-void AddressBook::on_connection_failed(std::string_view server, const Address& address, AttemptOutcome end,
-                                       Duration now) {
-  if (end != AttemptOutcome::reset_early && end != AttemptOutcome::unresponsive) return;
-  if (Known* const known = find(server, address)) fault(std::string(server), *known, now);
+void AddressBook::on_connection_failed(std::string_view server, const Address& address,
+                                       AttemptOutcome outcome, Duration now) {
+  if (outcome != AttemptOutcome::reset_early && outcome != AttemptOutcome::unresponsive) return;
+  if (AddressState* const state = find(server, address)) record_fault(std::string(server), *state, now);
 }
 
 // ---- trials ----
 
 std::optional<Trial> AddressBook::next_trial(Duration now) {
-  while (!due_.empty() && due_.begin()->first <= now && trials_ < rules_.trials_at_once) {
+  while (!due_.empty() && due_.begin()->first <= now && running_trials_ < settings_.trials_at_once) {
     const auto [at, key] = *due_.begin();
     due_.erase(due_.begin());
-    Known* const known = find(key.first, key.second);
-    if (known == nullptr) continue;
-    // A server that takes nothing new is left alone; its addresses stay in doubt.
-    if (known->on_trial || !servers_.find(key.first)->second.up || !is_usable(key.first, key.second)) {
-      known->retry_at = now + rules_.hold;
-      due_.insert({known->retry_at, key});
+    AddressState* const state = find(key.first, key.second);
+    if (state == nullptr) continue;
+    // The addresses of a server that takes no new sends are not tried; they stay in doubt.
+    if (state->on_trial || !servers_.find(key.first)->second.up || !is_usable(key.first, key.second)) {
+      state->retry_at = now + settings_.hold;
+      due_.insert({state->retry_at, key});
       continue;
     }
-    known->on_trial = true;
-    ++trials_;
+    state->on_trial = true;
+    ++running_trials_;
     counters_.trials += 1;
-    return Trial{key.first, key.second, rules_.attempt};
+    return Trial{key.first, key.second, settings_.attempt};
   }
   return std::nullopt;
 }
 
-void AddressBook::on_trial_ended(const Trial& trial, AttemptOutcome end, Duration took, Duration now) {
-  --trials_;
-  Known* const known = find(trial.server, trial.to);
-  // Taken away meanwhile, and perhaps named again, or proved by a race.
-  if (known == nullptr || !known->on_trial) return;
-  if (end == AttemptOutcome::connected) {
+void AddressBook::on_trial_ended(const Trial& trial, AttemptOutcome outcome, Duration took, Duration now) {
+  --running_trials_;
+  AddressState* const state = find(trial.server, trial.to);
+  // The address was removed meanwhile, and perhaps named again, or proven by a race.
+  if (state == nullptr || !state->on_trial) return;
+  if (outcome == AttemptOutcome::connected) {
     counters_.trials_passed += 1;
-    learn(*known, took);
-    forget_doubt(trial.server, *known);
-    good(*known);
-  } else if (end == AttemptOutcome::no_local_resources || end == AttemptOutcome::not_needed) {
-    if (known->doubted) {
-      due_.erase({known->retry_at, {trial.server, trial.to}});
-      known->retry_at = now + rules_.hold;
-      due_.insert({known->retry_at, {trial.server, trial.to}});
+    record_connect_time(*state, took);
+    clear_doubt(trial.server, *state);
+    mark_proven(*state);
+  } else if (outcome == AttemptOutcome::no_local_resources || outcome == AttemptOutcome::not_needed) {
+    if (state->in_doubt) {
+      due_.erase({state->retry_at, {trial.server, trial.to}});
+      state->retry_at = now + settings_.hold;
+      due_.insert({state->retry_at, {trial.server, trial.to}});
     }
   } else {
-    fault(trial.server, *known, now);
+    record_fault(trial.server, *state, now);
   }
-  known->on_trial = false;
+  state->on_trial = false;
 }
 
 std::optional<Duration> AddressBook::next_trial_time() const {
-  if (due_.empty() || trials_ >= rules_.trials_at_once) return std::nullopt;
+  if (due_.empty() || running_trials_ >= settings_.trials_at_once) return std::nullopt;
   return due_.begin()->first;
 }
 
 std::string AddressBook::describe(std::string_view server, Duration now) const {
   std::string out;
-  for (const Known* known : ranked(server)) {
+  for (const AddressState* state : ranked(server)) {
     if (!out.empty()) out += ", ";
-    out += known->address.text();
-    if (known->doubted) {
-      out += known->on_trial ? " on trial"
-                             : " in doubt for " + std::to_string((known->retry_at - now) / 1ms) +
-                                   " ms, fault " + std::to_string(known->faults);
+    out += state->address.text();
+    if (state->in_doubt) {
+      out += state->on_trial ? " on trial"
+                             : " in doubt for " + std::to_string((state->retry_at - now) / 1ms) +
+                                   " ms, fault " + std::to_string(state->faults);
     } else {
-      out += known->proven ? " proven" : " fresh";
+      out += state->proven ? " proven" : " fresh";
     }
   }
   return out.empty() ? "none" : out;
--- a/src/addresses/address_book.h
+++ b/src/addresses/address_book.h
@@ -1,11 +1,12 @@
-// What is known of each address of each server, and what follows from it: which address is dialled next, when
-// another is started beside one that hangs, which one is to prove itself before parts go over it, when one in
-// doubt is tried again, and when a server as a whole counts as not connected. No sockets and no clock: the
-// connection layer says what happened and when, and pulls what to do. It never sends and never resends a
-// part; to the decision module a server is one server, however many addresses it has.
+// Connection policy for servers with several addresses, without sockets or a clock of its own. It decides
+// which address is dialled next, when a second attempt starts beside one that hangs, which address has to
+// prove itself before parts go over it, when an address in doubt is tried again, and when a server counts as
+// not connected. The connection layer reports events with their times and asks for the next step. The book
+// never sends or resends a part; to the decision engine a server is one server, however many addresses it
+// has.
 //
-// The races are Happy Eyeballs (RFC 8305) with two changes: an address in doubt comes last whatever its
-// family, and one that has not proved itself wins a race by an answer rather than by coming up.
+// Races follow Happy Eyeballs (RFC 8305) with two changes: an address in doubt comes last whatever its
+// family, and one that has not proved itself wins a race by a response rather than by connecting.
 #pragma once
 
 #include <cstdint>
@@ -25,51 +26,61 @@
 
 using net::Address;
 using net::Family;
+using namespace std::chrono_literals;
 
-inline constexpr std::size_t kMaxAddressesPerServer = 8;  // of one server; those beyond it are not used
+inline constexpr std::size_t kMaxAddressesPerServer = 8;  // further ones are not used
 
+// Which attempts have to be answered before they win a race: none, those to addresses that have not responded
+// since their last fault, or all.
 enum class ProofPolicy { never, in_doubt, always };
 
-// The operator's figures. Times are spans of the program's clock.
+// The operator's settings for connecting, under the names that the operator file uses.
 struct ConnectSettings {
   std::vector<Family> prefer{Family::local, Family::ip6, Family::ip4};  // each at most once; others come last
-  Duration attempt{250'000};  // an attempt's limit, its proof included
-  Duration race{1'000'000};   // a whole race's limit where there are several addresses
-  Duration stagger{100'000};  // the next attempt starts so long after one that has not come up, at most
-  Duration stagger_least{
-      10'000};               // and at least; between them it follows how long connects took (RFC 8305, 5)
-  int at_once = 3;           // attempts of one race under way
-  Duration hold{1'000'000};  // an address in doubt is tried again after this, doubling with each failure
-  Duration hold_most{60'000'000};
-  int trials_at_once = 4;  // of all servers together
+  Duration attempt = 250ms;  // limit of one attempt, its proof included
+  Duration race = 1s;        // limit of a whole race where the server has several addresses
+  Duration stagger = 100ms;  // longest delay before the next attempt starts beside one that has not connected
+  Duration stagger_least = 10ms;  // shortest such delay; it adapts to past connect times (RFC 8305, 5)
+  int at_once = 3;                // concurrent attempts of one race
+  Duration hold = 1s;  // time until an address in doubt is tried again; doubles with each further fault
+  Duration hold_most = 60s;
+  int trials_at_once = 4;  // concurrent trials over all servers
   ProofPolicy prove = ProofPolicy::in_doubt;
 };
 
-// How an attempt, a trial or a connection ended, as far as it says something of the address.
+// How an attempt, a trial or a connection ended, as far as it says something about the address.
 enum class AttemptOutcome {
-  connected,           // and spoke, where it was to prove itself
-  refused,             // or unreachable: a clear no
-  timed_out,           // neither came up nor failed within its limit
-  reset_early,         // came up and ended before anything was heard
-  unresponsive,        // came up and did not answer what it was given
-  no_local_resources,  // no descriptor or a full backlog on this machine: says nothing of the address
-  not_needed           // another one won, or the server is no longer wanted
+  connected,           // and responded, where proof was needed
+  refused,             // or unreachable: a definite failure
+  timed_out,           // neither connected nor failed within its limit
+  reset_early,         // connected, and ended before anything was received
+  unresponsive,        // connected, and did not respond to what was written
+  no_local_resources,  // no descriptor, or a full backlog on this machine: says nothing about the address
+  not_needed           // another attempt won, or the server is no longer wanted
 };
-std::string_view name_of(AttemptOutcome end);
+// Returns the name that log events print.
+std::string_view name_of(AttemptOutcome outcome);
 
+// What the connection layer is to do next for a race.
 struct RaceStep {
-  enum class Action { dial, abandon, wait, lost };
+  enum class Action {
+    dial,     // connect to `to`
+    abandon,  // close the attempt, which has timed out
+    wait,     // ask again at wait_until, or when an attempt ends
+    lost      // the race has failed, or was decided already
+  };
   Action action = Action::wait;
   int attempt = 0;           // dial, abandon: its number within the race
   Address to;                // dial
-  bool needs_proof = false;  // dial: it wins only once it has answered a probe
-  Duration wait_until{};     // wait: ask again then, or when an attempt ended
+  bool needs_proof = false;  // dial: the attempt wins only once the server has answered a probe
+  Duration wait_until{};     // wait
 };
 
+// An address in doubt that is to be dialled and probed, without a part.
 struct Trial {
   std::string server;
   Address to;
-  Duration limit{};  // the time it may take, its proof included
+  Duration limit{};  // of the whole trial, its proof included
 };
 
 struct Counters {
@@ -81,114 +92,123 @@
  public:
   using RaceId = std::uint64_t;
 
-  AddressBook(const ConnectSettings& rules, std::uint32_t seed) : rules_(rules), chance_(seed) {}
+  // The seed is for the jitter of retry times.
+  AddressBook(const ConnectSettings& settings, std::uint32_t seed) : settings_(settings), random_(seed) {}
 
   // ---- membership ----
-  // One piece of news: opens, rows, closes. A whole list forgets servers it does not name.
-  void begin_update(bool whole);
+  // A list update is begin_update(), its servers, finish_update(). A snapshot removes the servers that it
+  // does not name.
+  void begin_update(bool snapshot);
   void update_server(const std::string& server, bool up, std::vector<Address> addresses);
-  void keep_server(std::string_view server);  // as it is, where it is known at all
+  // Keeps a server as it is through a snapshot; does nothing for one that is not known.
+  void keep_server(std::string_view server);
   void remove_server(const std::string& server);
   void finish_update();
 
-  // The operator's own addresses, by server: beside what the list says or in place of it. Takes the place of
-  // what was configured before; what is known of addresses that stay is kept.
+  // The operator's own addresses of a server: beside those of the list, or instead of them.
   struct ServerOverride {
     bool replaces_listed = false;
     std::vector<Address> addresses;
   };
-  void configure(const ConnectSettings& rules, std::map<std::string, ServerOverride, std::less<>> configured);
+  // Replaces the settings and all overrides. State is kept for addresses that remain.
+  void configure(const ConnectSettings& settings,
+                 std::map<std::string, ServerOverride, std::less<>> overrides);
 
-  // New sends may go over a connection to it: the server has it, and no other has a newer claim to it.
+  // Whether new sends may use a connection to this address: the server has it, and no other server has a
+  // newer claim to it.
   bool is_usable(std::string_view server, const Address& address) const;
-  // Usable addresses in the order a race would take them now.
+  // Returns the usable addresses in the order in which a race would dial them now.
   std::vector<Address> dial_order(std::string_view server) const;
 
-  // ---- races: one for each connection that is to be opened ----
+  // ---- races: one for each connection to be opened ----
   RaceId begin_race(std::string_view server, Duration now);
-  // Pulled until it says wait or lost.
+  // To be called until it returns wait or lost.
   RaceStep next_step(RaceId race, Duration now);
-  // Connected, but yet to prove itself: its time goes on.
-  void on_attempt_ended(RaceId race, int attempt, AttemptOutcome end, Duration now);
-  // The race is over for the connection layer; attempts that have not ended are to be closed by it.
+  // Not to be called for an attempt that has connected but has yet to prove itself: its limit still applies.
+  void on_attempt_ended(RaceId race, int attempt, AttemptOutcome outcome, Duration now);
+  // Forgets the race. The caller closes the attempts that have not ended.
   void end_race(RaceId race);
 
   // ---- connections ----
-  void on_response(std::string_view server, const Address& address);  // something was heard on one
-  // One that came up ended, or kept silent, before anything was ever heard on it.
-  void on_connection_failed(std::string_view server, const Address& address, AttemptOutcome end,
+  // Something was received on a connection to this address.
+  void on_response(std::string_view server, const Address& address);
+  // A connection ended, or was silent too long, before anything was received on it.
+  void on_connection_failed(std::string_view server, const Address& address, AttemptOutcome outcome,
                             Duration now);
 
-  // ---- trials: addresses in doubt are dialled and asked without a part ----
+  // ---- trials: addresses in doubt are dialled and probed without a part ----
   std::optional<Trial> next_trial(Duration now);
-  void on_trial_ended(const Trial& trial, AttemptOutcome end, Duration took, Duration now);
-  // When next_trial() may have something again; none while nothing is in doubt or as many run as may.
+  void on_trial_ended(const Trial& trial, AttemptOutcome outcome, Duration took, Duration now);
+  // Returns when next_trial() may return a trial; nothing while no address is in doubt or as many trials run
+  // as may.
   std::optional<Duration> next_trial_time() const;
 
   const Counters& counters() const { return counters_; }
   std::size_t server_count() const { return servers_.size(); }
   std::size_t race_count() const { return races_.size(); }
-  std::string describe(std::string_view server, Duration now) const;  // a line for logs and traces
+  // Returns one line on the state of the server's addresses, for logs and traces.
+  std::string describe(std::string_view server, Duration now) const;
 
  private:
-  struct Known {
+  struct AddressState {
     Address address;
-    std::uint64_t claimed = 0;  // the news that first named it for this server
-    bool proven = false;        // spoke the last time it was used
-    bool doubted = false;
-    int faults = 0;   // without a quiet time between them
+    std::uint64_t claimed = 0;  // the update that first named it for this server
+    bool proven = false;        // responded when it was last used
+    bool in_doubt = false;
+    int faults = 0;   // since the last long enough time without one
     Duration hold{};  // after the last of them
     Duration last_fault = Duration::min() / 2;
-    Duration retry_at{};  // while doubted
+    Duration retry_at{};  // while in doubt
     bool on_trial = false;
-    Duration smoothed{}, spread{};  // of the time to come up; zero: not known
+    Duration smoothed{}, spread{};  // of the connect time, as in RFC 6298; zero: not measured yet
   };
   struct Server {
     bool up = false;
-    bool seen = false;  // in the news that is being told
+    bool seen = false;  // in the update in progress
     std::vector<Address> listed;
-    std::vector<Known> known;
+    std::vector<AddressState> addresses;
   };
   struct Attempt {
     int number = 0;
     Address to;
     Duration started{}, limit{};
-    Duration stagger{};  // before the next one starts beside it
-    bool out = true;
+    Duration stagger{};  // delay before the next attempt starts beside this one
+    bool pending = true;
   };
   struct Race {
     std::string server;
-    std::vector<Address> left;  // to be dialled, the next one last
+    std::vector<Address> left;  // still to be dialled, the next one last
     std::vector<Attempt> attempts;
     Duration limit{};
-    bool several = false;
-    bool hurry = true;  // the newest has failed: the next one does not wait
+    bool several = false;  // the server has more than one address
+    bool hurry = true;     // the newest attempt has failed: the next one starts without a delay
     bool decided = false;
   };
 
-  void merge(const std::string& name, Server& server, std::uint64_t stamp);
-  void unclaim(const std::string& server, const Address& address);
-  bool contested(const std::string& server, const Address& address) const;
-  Known* find(std::string_view server, const Address& address);
-  std::vector<const Known*> ranked(std::string_view server) const;
-  void good(Known& known);
-  void fault(const std::string& server, Known& known, Duration now);
-  void learn(Known& known, Duration took);
-  Duration stagger_for(const Known& known) const;
-  void forget_doubt(const std::string& server, Known& known);
+  void merge(const std::string& name, Server& server, std::uint64_t update);
+  void remove_claim(const std::string& server, const Address& address);
+  bool is_contested(const std::string& server, const Address& address) const;
+  AddressState* find(std::string_view server, const Address& address);
+  std::vector<const AddressState*> ranked(std::string_view server) const;
+  void mark_proven(AddressState& state);
+  void record_fault(const std::string& server, AddressState& state, Duration now);
+  void record_connect_time(AddressState& state, Duration connect_time);
+  Duration stagger_for(const AddressState& state) const;
+  void clear_doubt(const std::string& server, AddressState& state);
   std::size_t preference(Family family) const;
 
-  ConnectSettings rules_;
-  std::mt19937 chance_;
+  ConnectSettings settings_;
+  std::mt19937 random_;
   std::map<std::string, Server, std::less<>> servers_;
-  std::map<std::string, ServerOverride, std::less<>> configured_;
-  std::map<Address, std::map<std::string, std::uint64_t>> claims_;  // who named it, since which news
+  std::map<std::string, ServerOverride, std::less<>> overrides_;
+  std::map<Address, std::map<std::string, std::uint64_t>> claims_;  // by address: the servers that have it,
+                                                                    // and since which update
   std::map<RaceId, Race> races_;
   std::set<std::pair<Duration, std::pair<std::string, Address>>> due_;  // addresses in doubt, by retry_at
   RaceId next_race_ = 1;
-  std::uint64_t news_ = 0;
-  bool whole_ = false;
-  int trials_ = 0;
+  std::uint64_t update_ = 0;
+  bool snapshot_ = false;  // the update in progress is one
+  int running_trials_ = 0;
   Counters counters_;
 };
 
--- a/src/net/json_server.cpp
+++ b/src/net/json_server.cpp
@@ -5,8 +5,6 @@
 namespace marbledyke::net {
 namespace {
 
-using namespace std::chrono_literals;
-
 constexpr Duration kRequestTimeout = 2s;  // from the first byte of a request to its last
 constexpr Duration kIdleTimeout = 30s;    // of a connection without a request
 constexpr Duration kLingerTimeout = 1s;   // after the last response, for a peer that does not close
