--- a/src/list/discovery_client.cpp
+++ b/src/list/discovery_client.cpp
@@ -8,160 +8,165 @@
 namespace marbledyke::list {
 namespace {
 
-constexpr Duration kLongestWait = 60s;  // the protocol's
-constexpr std::size_t kMostList = 8 * 1024 * 1024;
+constexpr Duration kMaxWait = 60s;  // of discovery's protocol
+constexpr std::size_t kMaxListBytes = 8 * 1024 * 1024;
 
 }  // namespace
 
 DiscoveryClient::DiscoveryClient(net::Loop& loop, const config::Commission& commission, Duration unix_start,
-                                 Callbacks told)
+                                 Callbacks callbacks)
     : loop_(loop),
       carriage_(commission.carriage),
       address_(commission.discovery),
       host_(commission.discovery_host),
       unix_start_(unix_start),
-      callbacks_(std::move(told)),
-      lines_{Line{{}, {}, {net::HttpParser::Kind::response, kMostList}, {}},
-             Line{{}, {}, {net::HttpParser::Kind::response, kMostList}, {}}} {}
+      callbacks_(std::move(callbacks)),
+      connections_{Connection{{}, {}, {net::HttpParser::Kind::response, kMaxListBytes}, {}},
+                   Connection{{}, {}, {net::HttpParser::Kind::response, kMaxListBytes}, {}}} {}
 
 void DiscoveryClient::request_list(bool watching) {
-  if (lines_[0].calling || lines_[1].calling) return;  // what is out brings the same news
+  if (connections_[0].call_pending || connections_[1].call_pending)
+    return;  // the call in progress brings the same update
   watching_ = watching;
-  whole_ = !watching;
-  // The first call of a watch does not wait, so that whoever asked soon knows where things stand.
-  call(lines_[0], Duration::zero());
+  snapshot_wanted_ = !watching;
+  // The first call of a watch does not wait, so that the owner soon has the present list.
+  call(connections_[0], Duration::zero());
 }
 
-// The calls that are out are given up with the old place: they may never be answered, or with what is old
-// news by then. The versions of one place say nothing at another, so the whole list is asked for.
+// Calls in progress at the former endpoint are dropped: they may never be answered, or with outdated changes.
+// An endpoint's versions have no meaning at another one, so a snapshot is requested.
 void DiscoveryClient::set_endpoint(const net::Address& address, const std::string& host) {
   address_ = address;
   host_ = host;
   index_.reset();
-  for (Line& line : lines_) hang_up(line);
+  for (Connection& connection : connections_) close(connection);
   request_list(true);
 }
 
-void DiscoveryClient::call(Line& line, Duration wait) {
-  line.calling = true;
-  line.began = loop_.now();
-  line.wait = wait;
-  const Duration patience = wait > Duration::zero() ? wait + kOverdueAfter : kResponseTimeout;
-  line.patience = loop_.call_at(loop_.now() + patience, [this, &line] {
-    line.patience.reset();
-    line.wait > Duration::zero() ? overdue(line) : failed(line, "no answer in time");
+void DiscoveryClient::call(Connection& connection, Duration wait) {
+  connection.call_pending = true;
+  connection.began = loop_.now();
+  connection.wait = wait;
+  const Duration timeout = wait > Duration::zero() ? wait + kOverdueAfter : kResponseTimeout;
+  connection.timeout = loop_.call_at(loop_.now() + timeout, [this, &connection] {
+    connection.timeout.reset();
+    connection.wait > Duration::zero() ? on_overdue(connection) : fail(connection, "no answer in time");
   });
-  line.reader.reset();
-  if (line.stream && !line.stream->is_closed()) return write(line);
-  hold_spare(1);
+  connection.parser.reset();
+  if (connection.stream && !connection.stream->is_closed()) return write_request(connection);
+  update_reserve(1);
   net::Descriptor fd = net::start_connect(address_);
-  if (!fd) return failed(line, "cannot connect");
-  line.last = std::move(line.stream);
-  line.stream = std::make_unique<net::Stream>(
+  if (!fd) return fail(connection, "cannot connect");
+  connection.former = std::move(connection.stream);
+  connection.stream = std::make_unique<net::Stream>(
       loop_, std::move(fd), false, 64 * 1024, 4096,
-      net::Stream::Callbacks{[this, &line] { write(line); }, [this, &line] { read(line); }, nullptr,
-                             [this, &line](bool connected) { ended(line, connected); }});
+      net::Stream::Callbacks{[this, &connection] { write_request(connection); },
+                             [this, &connection] { on_data(connection); }, nullptr,
+                             [this, &connection](bool connected) { on_ended(connection, connected); }});
 }
 
-void DiscoveryClient::write(Line& line) {
+void DiscoveryClient::write_request(Connection& connection) {
   std::string target = "/v1/servers";
-  if (!whole_ && index_) {
-    target += "?index=" + std::to_string(*index_) + "&wait=" + std::to_string(line.wait / 1ms);
+  if (!snapshot_wanted_ && index_) {
+    target += "?index=" + std::to_string(*index_) + "&wait=" + std::to_string(connection.wait / 1ms);
   }
-  log::event(log::Level::debug, "discovery.called", {{"wait_ms", line.wait / 1ms}});
-  line.stream->out().append("GET " + target + " HTTP/1.1\r\nHost: " + host_ + "\r\n\r\n");
-  line.stream->flush();
+  log::event(log::Level::debug, "discovery.called", {{"wait_ms", connection.wait / 1ms}});
+  connection.stream->out().append("GET " + target + " HTTP/1.1\r\nHost: " + host_ + "\r\n\r\n");
+  connection.stream->flush();
 }
 
-// The wait is over and nothing was said: a second call is made beside it. That one's fate decides, unless the
-// first speaks after all.
-void DiscoveryClient::overdue(Line& line) {
-  log::event(log::Level::info, "discovery.overdue", {{"waited_ms", (loop_.now() - line.began) / 1ms}});
-  line.patience = loop_.call_at(line.began + line.wait + kWaitGrace, [this, &line] {
-    line.patience.reset();
-    hang_up(line);
-    if (!beside(line).calling) failed(line, "no answer in time");
+// The wait is over without a response: a second call is made beside the first. The outcome of the second
+// decides, unless the first is answered after all.
+void DiscoveryClient::on_overdue(Connection& connection) {
+  log::event(log::Level::info, "discovery.overdue", {{"waited_ms", (loop_.now() - connection.began) / 1ms}});
+  connection.timeout = loop_.call_at(connection.began + connection.wait + kWaitGrace, [this, &connection] {
+    connection.timeout.reset();
+    close(connection);
+    if (!other_than(connection).call_pending) fail(connection, "no answer in time");
   });
-  call(beside(line), Duration::zero());
+  call(other_than(connection), Duration::zero());
 }
 
-void DiscoveryClient::read(Line& line) {
-  net::RingBuffer& in = line.stream->in();
+void DiscoveryClient::on_data(Connection& connection) {
+  net::RingBuffer& in = connection.stream->in();
   while (!in.empty()) {
-    if (!line.calling) {  // nothing was asked: the connection is out of step
+    if (!connection.call_pending) {  // a response without a request
       log::event(log::Level::warning, "discovery.out_of_step");
-      return hang_up(line);
+      return close(connection);
     }
-    in.consume(line.reader.feed(in.front()));
-    if (line.reader.state() == net::HttpParser::State::malformed)
-      return failed(line, "the answer cannot be read");
-    if (line.reader.state() == net::HttpParser::State::complete) return answered(line);
+    in.consume(connection.parser.feed(in.front()));
+    if (connection.parser.state() == net::HttpParser::State::malformed)
+      return fail(connection, "the answer cannot be read");
+    if (connection.parser.state() == net::HttpParser::State::complete) return on_response(connection);
   }
 }
 
-// An answer without a length ends with its connection, but a reset is no end: what came may be any part of
-// it.
-void DiscoveryClient::ended(Line& line, bool connected) {
-  hold_spare();
-  if (!line.calling) return;
-  if (line.stream->was_reset())
-    return failed(line, connected ? "the connection was reset" : "cannot connect");
-  line.reader.on_peer_closed();
-  if (line.reader.state() != net::HttpParser::State::complete) return failed(line, "the connection broke");
-  answered(line);
+// A response of unstated length ends with its connection, but not with a reset: what has arrived then may be
+// any part of it.
+void DiscoveryClient::on_ended(Connection& connection, bool connected) {
+  update_reserve();
+  if (!connection.call_pending) return;
+  if (connection.stream->was_reset())
+    return fail(connection, connected ? "the connection was reset" : "cannot connect");
+  connection.parser.on_peer_closed();
+  if (connection.parser.state() != net::HttpParser::State::complete)
+    return fail(connection, "the connection broke");
+  on_response(connection);
 }
 
-void DiscoveryClient::answered(Line& line) {
-  net::HttpMessage& message = line.reader.message();
-  if (message.target_or_status != "200") return failed(line, "an answer other than 200");
-  ListUpdate news;
+void DiscoveryClient::on_response(Connection& connection) {
+  net::HttpMessage& message = connection.parser.message();
+  if (message.target_or_status != "200") return fail(connection, "an answer other than 200");
+  ListUpdate update;
   try {
-    news = parse_list_update(config::parse(message.body), carriage_, unix_start_);
-  } catch (const config::BadInput& wrong) {
-    log::event(log::Level::warning, "discovery.bad_list", {{"why", wrong.what()}});
-    return failed(line, "the list cannot be read");
+    update = parse_list_update(config::parse(message.body), carriage_, unix_start_);
+  } catch (const config::BadInput& error) {
+    log::event(log::Level::warning, "discovery.bad_list", {{"why", error.what()}});
+    return fail(connection, "the list cannot be read");
   }
-  log::event(log::Level::debug, "discovery.answered", {{"after_ms", (loop_.now() - line.began) / 1ms}});
-  if (!message.keeps_alive()) line.stream->close();
-  over(line);
-  hang_up(beside(line));
-  if (news.skipped_entries > 0 || news.invalid_addresses > 0)
+  log::event(log::Level::debug, "discovery.answered", {{"after_ms", (loop_.now() - connection.began) / 1ms}});
+  if (!message.keeps_alive()) connection.stream->close();
+  end_call(connection);
+  close(other_than(connection));
+  if (update.skipped_entries > 0 || update.invalid_addresses > 0)
     log::event(log::Level::warning, "discovery.bad_entries",
-               {{"left_out", news.skipped_entries},
-                {"first", news.first_error},
-                {"addresses", news.invalid_addresses}});
-  index_ = news.index;
-  callbacks_.on_update(std::move(news));
+               {{"left_out", update.skipped_entries},
+                {"first", update.first_error},
+                {"addresses", update.invalid_addresses}});
+  index_ = update.index;
+  callbacks_.on_update(std::move(update));
   if (watching_) {
-    whole_ = false;
-    call(line, std::min(carriage_.ask_every, kLongestWait));
+    snapshot_wanted_ = false;
+    call(connection, std::min(carriage_.ask_every, kMaxWait));
   }
 }
 
-void DiscoveryClient::failed(Line& line, const char* why) {
-  const Duration took = line.wait > Duration::zero() ? Duration::zero() : loop_.now() - line.began;
-  for (Line& one : lines_) hang_up(one);
+void DiscoveryClient::fail(Connection& connection, const char* reason) {
+  const Duration took =
+      connection.wait > Duration::zero() ? Duration::zero() : loop_.now() - connection.began;
+  for (Connection& one : connections_) close(one);
   watching_ = false;
   log::event(log::Level::info, "discovery.failed",
-             {{"why", why}, {"after_ms", (loop_.now() - line.began) / 1ms}});
+             {{"why", reason}, {"after_ms", (loop_.now() - connection.began) / 1ms}});
   callbacks_.on_failed(max_backoff(took));
 }
 
-void DiscoveryClient::over(Line& line) {
-  if (line.patience) loop_.cancel(*line.patience);
-  line.patience.reset();
-  line.calling = false;
+void DiscoveryClient::end_call(Connection& connection) {
+  if (connection.timeout) loop_.cancel(*connection.timeout);
+  connection.timeout.reset();
+  connection.call_pending = false;
 }
 
-void DiscoveryClient::hang_up(Line& line) {
-  over(line);
-  if (line.stream) line.stream->close();
-  hold_spare();
+void DiscoveryClient::close(Connection& connection) {
+  end_call(connection);
+  if (connection.stream) connection.stream->close();
+  update_reserve();
 }
 
-void DiscoveryClient::hold_spare(std::size_t more) {
-  for (const Line& line : lines_) more += line.stream && !line.stream->is_closed() ? 1 : 0;
-  spare_.set_in_use(more);
+void DiscoveryClient::update_reserve(std::size_t extra) {
+  for (const Connection& connection : connections_)
+    extra += connection.stream && !connection.stream->is_closed() ? 1 : 0;
+  reserve_.set_in_use(extra);
 }
 
 }  // namespace marbledyke::list
--- a/src/list/discovery_client.h
+++ b/src/list/discovery_client.h
@@ -1,5 +1,5 @@
-// Keeps up with the list: one call to discovery at a time, each watch followed at once by the next. Beside a
-// wait whose answer is overdue a second call is made.
+// Follows discovery's list of shard servers by long polling: one call at a time, each watch followed at once
+// by the next. A second call is made beside a watch whose response is overdue.
 #pragma once
 
 #include <array>
@@ -20,38 +20,44 @@
  public:
   struct Callbacks {
     std::function<void(ListUpdate)> on_update;
-    // A call failed, and with it the watch; asked for again within that.
+    // A call failed, which ends the watch. The owner asks again within max_backoff.
     std::function<void(Duration max_backoff)> on_failed;
   };
 
-  DiscoveryClient(net::Loop& loop, const config::Commission& commission, Duration unix_start, Callbacks told);
+  DiscoveryClient(net::Loop& loop, const config::Commission& commission, Duration unix_start,
+                  Callbacks callbacks);
 
-  void set_known_index(std::int64_t index) { index_ = index; }  // the version of the list that is held
-  void request_list(bool watching);  // the changes since, and then each as it comes; or the whole list once
-  // Another place to ask, from now on; what it says first is the whole list.
+  // Sets the version of the list that the owner holds already.
+  void set_known_index(std::int64_t index) { index_ = index; }
+  // Starts a watch: the changes since the known version, then each change as it comes. Or, with `watching`
+  // false, fetches one snapshot. Does nothing while a call is in progress.
+  void request_list(bool watching);
+  // Moves to another endpoint, whose first response is a snapshot.
   void set_endpoint(const net::Address& address, const std::string& host);
 
  private:
-  // A connection to discovery, and the call that is out on it.
-  struct Line {
-    std::unique_ptr<net::Stream> stream, last;  // the last one may still be telling of its end
-    net::HttpParser reader;
-    std::optional<net::Loop::Timer> patience;
+  // A connection to discovery, and the call in progress on it.
+  struct Connection {
+    std::unique_ptr<net::Stream> stream, former;  // the former one may still be running its on_ended callback
+    net::HttpParser parser;
+    std::optional<net::Loop::Timer> timeout;
     Duration began{}, wait{};
-    bool calling = false;
+    bool call_pending = false;
   };
 
-  Line& beside(const Line& line) { return &line == &lines_[0] ? lines_[1] : lines_[0]; }
-  void call(Line& line, Duration wait);
-  void write(Line& line);
-  void read(Line& line);
-  void overdue(Line& line);
-  void answered(Line& line);
-  void ended(Line& line, bool connected);
-  void failed(Line& line, const char* why);
-  void over(Line& line);
-  void hang_up(Line& line);
-  void hold_spare(std::size_t more = 0);
+  Connection& other_than(const Connection& connection) {
+    return &connection == &connections_[0] ? connections_[1] : connections_[0];
+  }
+  void call(Connection& connection, Duration wait);
+  void write_request(Connection& connection);
+  void on_data(Connection& connection);
+  void on_overdue(Connection& connection);
+  void on_response(Connection& connection);
+  void on_ended(Connection& connection, bool connected);
+  void fail(Connection& connection, const char* reason);
+  void end_call(Connection& connection);
+  void close(Connection& connection);
+  void update_reserve(std::size_t extra = 0);
 
   net::Loop& loop_;
   const config::Carriage& carriage_;
@@ -59,10 +65,10 @@
   std::string host_;
   Duration unix_start_;
   Callbacks callbacks_;
-  std::array<Line, 2> lines_;
-  net::DescriptorReserve spare_{2};  // clients may take all others while discovery is away
+  std::array<Connection, 2> connections_;
+  net::DescriptorReserve reserve_{2};  // clients may use up all others while discovery is unreachable
   std::optional<std::int64_t> index_;
-  bool watching_ = false, whole_ = false;
+  bool watching_ = false, snapshot_wanted_ = false;
 };
 
 }  // namespace marbledyke::list
--- a/src/list/list_update.cpp
+++ b/src/list/list_update.cpp
@@ -8,49 +8,49 @@
 using config::BadInput;
 using config::json;
 
-constexpr std::size_t kMostNamed = 32;  // of one server, before what is named twice is left out
+constexpr std::size_t kMaxNamedAddresses = 32;  // of one server, duplicates included
 
-Standing standing(const std::string& status) {
+Standing parse_standing(const std::string& status) {
   if (status == "ready") return Standing::up;
   if (status == "draining") return Standing::draining;
   if (status == "gone") return Standing::gone;
   throw BadInput("status: unknown value " + status);
 }
 
-// What other installations say beside `address`. One that cannot be read costs itself, not its server.
-void further_addresses(const json& from, ServerEntry& into, int& odd) {
+// Reads the optional field `addresses`. An invalid item is skipped and counted; its server's entry is kept.
+void read_further_addresses(const json& from, ServerEntry& into, int& invalid) {
   const auto named = from.find("addresses");
   if (named == from.end() || named->is_null()) return;
   if (!named->is_array()) {
-    ++odd;
+    ++invalid;
     return;
   }
   for (const json& one : *named) {
     const auto address =
         one.is_string() ? net::parse_address(one.get_ref<const std::string&>()) : std::nullopt;
-    if (address && into.addresses.size() < kMostNamed) {
+    if (address && into.addresses.size() < kMaxNamedAddresses) {
       into.addresses.push_back(*address);
     } else {
-      ++odd;
+      ++invalid;
     }
   }
 }
 
-ServerEntry entry(const json& from, const config::Carriage& carriage, Duration unix_start, int& odd) {
+ServerEntry read_entry(const json& from, const config::Carriage& carriage, Duration unix_start, int& invalid) {
   ServerEntry out;
   out.row.server = config::text(from, "name");
   if (out.row.server.empty()) throw BadInput("name: empty");
   const auto address = net::parse_address(config::text(from, "address"));
   if (!address) throw BadInput("address: not an address with a port");
   out.addresses.push_back(*address);
-  further_addresses(from, out, odd);
+  read_further_addresses(from, out, invalid);
   const auto zone = std::find(carriage.zones.begin(), carriage.zones.end(), config::text(from, "zone"));
   if (zone == carriage.zones.end()) throw BadInput("zone: unknown");
   out.row.zone = static_cast<int>(zone - carriage.zones.begin());
   const std::int64_t cell = config::whole_or(from, "group", 0);
   if (cell < 0 || cell >= carriage.cells) throw BadInput("group: out of range");
   out.row.cell = static_cast<int>(cell);
-  out.row.standing = standing(config::text(from, "status"));
+  out.row.standing = parse_standing(config::text(from, "status"));
   out.row.size = config::number_or(from, "weight", 1);
   const std::int64_t since = config::whole_or(from, "since_ms", 0);
   if (since < 0 || since > 1'000'000'000'000'000) throw BadInput("since_ms: out of range");
@@ -58,16 +58,16 @@
   return out;
 }
 
-// The name of an entry of which something else cannot be read; empty: that cannot be read either.
+// Returns the name of an invalid entry, or an empty string where the name is invalid as well.
 std::string name_of(const json& from) {
   const auto name = from.is_object() ? from.find("name") : from.end();
   return name != from.end() && name->is_string() ? name->get<std::string>() : std::string();
 }
 
-void leave_out(const json& from, const BadInput& wrong, ListUpdate& news) {
+void record_invalid(const json& from, const BadInput& error, ListUpdate& news) {
   ++news.skipped_entries;
   std::string name = name_of(from);
-  if (news.first_error.empty()) news.first_error = (name.empty() ? "an entry" : name) + ": " + wrong.what();
+  if (news.first_error.empty()) news.first_error = (name.empty() ? "an entry" : name) + ": " + error.what();
   if (!name.empty()) news.unreadable_servers.insert(std::move(name));
 }
 
@@ -81,9 +81,9 @@
   out.is_snapshot = whole.get<bool>();
   for (const json& one : config::array(from, "endpoints")) {
     try {
-      out.entries.push_back(entry(one, carriage, unix_start, out.invalid_addresses));
-    } catch (const BadInput& wrong) {
-      leave_out(one, wrong, out);
+      out.entries.push_back(read_entry(one, carriage, unix_start, out.invalid_addresses));
+    } catch (const BadInput& error) {
+      record_invalid(one, error, out);
     }
   }
   return out;
--- a/src/list/list_update.h
+++ b/src/list/list_update.h
@@ -1,4 +1,4 @@
-// What discovery says of the shard servers, read from its JSON.
+// Discovery's list of shard servers, parsed from its JSON.
 #pragma once
 
 #include <cstdint>
@@ -13,24 +13,27 @@
 
 namespace marbledyke::list {
 
+// One shard server of the list.
 struct ServerEntry {
   ListRow row;
-  std::vector<net::Address> addresses;  // `address`, then those of the optional `addresses`
+  std::vector<net::Address> addresses;  // the field `address`, then the optional `addresses`
 };
 
+// A snapshot of the list, or the changes since an earlier version.
 struct ListUpdate {
-  std::int64_t index = 0;
+  std::int64_t index = 0;  // the version of the list
   bool is_snapshot = false;
   std::vector<ServerEntry> entries;
-  int skipped_entries = 0;                                // entries that cannot be read
-  std::set<std::string, std::less<>> unreadable_servers;  // their names, of those that have one
-  std::string first_error;                                // of the first of them: its name and what is wrong
-  int invalid_addresses = 0;  // further addresses that made none; their entries stand
+  int skipped_entries = 0;                                // invalid entries
+  std::set<std::string, std::less<>> unreadable_servers;  // their names, where these can be read
+  std::string first_error;                                // name and fault of the first invalid entry
+  int invalid_addresses = 0;  // items of `addresses` that are skipped; their entries are kept
 };
 
-// unix_start is the Unix time at which the gatherer's own clock stood at zero. Throws config::BadInput where
-// the whole makes no sense. A single entry that cannot be read is left out and counted; its server keeps its
-// last state, also in a whole list.
-ListUpdate parse_list_update(const config::json& from, const config::Carriage& carriage, Duration unix_start);
+// Parses a response of discovery. unix_start is the Unix time at which the gatherer's own clock was zero.
+// Throws config::BadInput where the response as a whole is invalid. A single invalid entry is skipped and
+// counted; its server keeps its former state, even in a snapshot.
+ListUpdate parse_list_update(const config::json& response, const config::Carriage& carriage,
+                             Duration unix_start);
 
 }  // namespace marbledyke::list
