--- a/src/servers/shard_server_pool.cpp
+++ b/src/servers/shard_server_pool.cpp
@@ -8,42 +8,42 @@
 namespace marbledyke::servers {
 using namespace std::chrono_literals;
 namespace {
-constexpr int kNoZone = -1;  // of a row whose zone the settings no longer name
+constexpr int kNoZone = -1;  // the zone of a row whose zone the settings no longer name
 }  // namespace
 
-// A connection that races to become a link's. Nothing but a probe is ever written to it before it has won, so
-// that no part can be at a server that lost.
-struct ShardServerPool::Runner {
+// One attempt of a race for a connection. Nothing but a frame that asks for proof is written to it before it
+// has won, so no part can reach a server over an attempt that lost.
+struct ShardServerPool::Candidate {
   int number = 0;
   net::Address to;
   bool prove = false;
   std::unique_ptr<net::Stream> stream;
-  FrameParser reader;
+  FrameParser parser;
 };
 
-// A connection that only tells whether an address in doubt is sound again.
+// A connection that only finds out whether an address in doubt works again.
 struct ShardServerPool::Trial {
-  addresses::Trial what;
+  addresses::Trial spec;
   Duration started{};
   std::unique_ptr<net::Stream> stream;
-  FrameParser reader;
+  FrameParser parser;
   net::Loop::Timer expiry;
 };
 
-// One connection to a shard server, or the race for it.
-struct ShardServerPool::Link {
+// One connection to a shard server, or the race to open it.
+struct ShardServerPool::Connection {
   enum class Stage { queued, writing, written };
 
-  struct Out {
+  struct Send {
     SendRequest request;
     Stage stage = Stage::queued;
-    Duration given_at{};  // its frame was begun, and then: it was written
-    bool over = false;    // ended while its frame was being written, so that a frame 2 must follow
+    Duration progress_at{};  // when its frame was begun; after that, when it was written
+    bool ended = false;      // while its frame was being written, so a cancel frame (2) has to follow
     net::Loop::Timer expiry;
   };
 
-  // What is to be written: a call names the parts that are in it.
-  struct Pending {
+  // A frame to be written, with the wire ids of the parts in it.
+  struct QueuedFrame {
     char type = 0;
     std::vector<std::string> ids;
   };
@@ -51,21 +51,21 @@
   std::uint64_t number = 0;
   std::string server;
   std::optional<addresses::AddressBook::RaceId> race;
-  std::vector<Runner> runners;
-  std::optional<net::Loop::Timer> race_wake;
+  std::vector<Candidate> candidates;
+  std::optional<net::Loop::Timer> race_timer;
   int winner = -1;
   net::Address address;                 // of the stream
-  std::unique_ptr<net::Stream> stream;  // none while the race is on
-  bool current = true;                  // its server still has the address
-  bool answered = false;                // something was heard, the proof apart
+  std::unique_ptr<net::Stream> stream;  // null during the race
+  bool current = true;                  // the server still has the address
+  bool has_responded = false;           // something was received, apart from the proof
   bool ended = false;
-  FrameParser reader;
-  bool reading_on = false;          // a frame has begun and its rest is being waited for
-  std::map<std::string, Out> outs;  // by wire id
-  std::deque<Pending> pending;
-  Pending writing;                           // the one whose bytes are in the ring; letter 0: none
-  std::map<std::string, Duration> given_up;  // wire ids that may still be answered here, and until when
-  bool trusted = true;                       // false once it kept silent over something it had been given
+  FrameParser parser;
+  bool frame_timeout_armed = false;   // the rest of a frame is awaited
+  std::map<std::string, Send> sends;  // by wire id
+  std::deque<QueuedFrame> queued_frames;
+  QueuedFrame writing;  // the frame whose bytes are in the ring buffer; type 0: none
+  std::map<std::string, Duration> cancelled_ids;  // wire ids that may still be answered, and until when
+  bool responsive = true;                         // false after too long a silence about a send or a probe
   Duration last_heard{}, last_used{};
   bool probing = false, probe_written = false;
   Duration probe_at{};
@@ -74,60 +74,63 @@
 
 ShardServerPool::ShardServerPool(net::Loop& loop, const config::Carriage& carriage, std::uint32_t seed,
                                  std::function<bool()> make_room)
-    : loop_(loop), carriage_(carriage), make_room_(std::move(make_room)), book_({}, seed) {
-  addresses::ConnectSettings rules;
-  rules.attempt = carriage.connect_timeout;
-  book_.configure(rules, {});
+    : loop_(loop), carriage_(carriage), make_room_(std::move(make_room)), address_book_({}, seed) {
+  addresses::ConnectSettings settings;
+  settings.attempt = carriage.connect_timeout;
+  address_book_.configure(settings, {});
 }
 
 ShardServerPool::~ShardServerPool() = default;
 
 void ShardServerPool::configure(
-    const addresses::ConnectSettings& rules,
-    std::map<std::string, addresses::AddressBook::ServerOverride, std::less<>> configured) {
-  book_.configure(rules, std::move(configured));
-  relist();
+    const addresses::ConnectSettings& settings,
+    std::map<std::string, addresses::AddressBook::ServerOverride, std::less<>> overrides) {
+  address_book_.configure(settings, std::move(overrides));
+  reconsider_connections();
 }
 
-void ShardServerPool::apply_list_update(const list::ListUpdate& news) {
-  // Nothing is kept of a server that the list no longer has, but for what is out on its connections: under
-  // new ids all day, servers would otherwise fill the memory.
-  if (news.is_snapshot)
+void ShardServerPool::apply_list_update(const list::ListUpdate& update) {
+  // A server that the list no longer has is forgotten, apart from the sends pending on its connections:
+  // servers that come under new ids all day would otherwise fill the memory.
+  if (update.is_snapshot)
     std::erase_if(rows_, [&](const auto& one) {
-      return !news.unreadable_servers.contains(one.first) || last_row(one.first) == nullptr;
+      return !update.unreadable_servers.contains(one.first) || last_row(one.first) == nullptr;
     });
-  book_.begin_update(news.is_snapshot);
-  if (news.is_snapshot) {
-    for (const auto& [name, row] : rows_) book_.keep_server(name);
+  address_book_.begin_update(update.is_snapshot);
+  if (update.is_snapshot) {
+    for (const auto& [name, row] : rows_) address_book_.keep_server(name);
   }
-  for (const list::ServerEntry& entry : news.entries) {
+  for (const list::ServerEntry& entry : update.entries) {
     if (entry.row.standing == Standing::gone) {
       rows_.erase(entry.row.server);
-      book_.remove_server(entry.row.server);
+      address_book_.remove_server(entry.row.server);
     } else {
       rows_[entry.row.server] = entry.row;
-      book_.update_server(entry.row.server, entry.row.standing == Standing::up, entry.addresses);
+      address_book_.update_server(entry.row.server, entry.row.standing == Standing::up, entry.addresses);
     }
   }
-  book_.finish_update();
-  relist();
-}
-
-// What the news means for the connections that are open or being opened. What waits for one to a server that
-// drains or is gone would not be written when it comes up (pump); it does not wait for that, but ends as
-// never sent, to go to another while there is time.
-void ShardServerPool::relist() {
-  std::vector<Link*> unwanted, too_late;
-  for (const auto& [number, link] : links_) {
-    link->current = link->race ? rows_.contains(link->server) : book_.is_usable(link->server, link->address);
-    if (!wanted(*link)) (link->race ? too_late : unwanted).push_back(link.get());
+  address_book_.finish_update();
+  reconsider_connections();
+}
+
+// Applies changed servers and addresses to the connections that are open or being opened. A send that waits
+// for a connection to a server that drains or is gone would not be written once the connection is open
+// (write_next_frame). It ends as never sent at once, so that it can go to another replica while there is
+// time.
+void ShardServerPool::reconsider_connections() {
+  std::vector<Connection*> unwanted, failing;
+  for (const auto& [number, connection] : connections_) {
+    connection->current = connection->race ? rows_.contains(connection->server)
+                                           : address_book_.is_usable(connection->server, connection->address);
+    if (!is_wanted(*connection)) (connection->race ? failing : unwanted).push_back(connection.get());
   }
-  for (Link* link : unwanted) rest(*link);
-  for (Link* link : too_late) {
-    while (!link->outs.empty()) settle(*link, std::string(link->outs.begin()->first), Fate::unused);
-    broke(*link, false);
+  for (Connection* connection : unwanted) manage_idle(*connection);
+  for (Connection* connection : failing) {
+    while (!connection->sends.empty())
+      finish_send(*connection, std::string(connection->sends.begin()->first), Fate::unused);
+    end_connection(*connection, false);
   }
-  plan_trials();
+  schedule_trials();
 }
 
 const ListRow* ShardServerPool::last_row(std::string_view server) const {
@@ -145,162 +148,167 @@
   }
 }
 
-bool ShardServerPool::up(std::string_view server) const {
+bool ShardServerPool::accepts_sends(std::string_view server) const {
   const auto at = rows_.find(server);
   return at != rows_.end() && at->second.standing == Standing::up;
 }
 
-// New sends may go over it: it has not kept silent, and its server is up and still there.
-bool ShardServerPool::wanted(const Link& link) const {
-  return link.trusted && link.current && up(link.server);
+// Whether new sends may use the connection: it is responsive, and its server is up and still has the address.
+bool ShardServerPool::is_wanted(const Connection& connection) const {
+  return connection.responsive && connection.current && accepts_sends(connection.server);
 }
 
 void ShardServerPool::call(const std::string& server, std::vector<SendRequest> requests) {
-  bury();
-  const auto most = static_cast<std::size_t>(carriage_.parts_a_call);
-  for (std::size_t from = 0; from < requests.size(); from += most) {
-    const std::size_t to = std::min(requests.size(), from + most);
-    std::vector<SendRequest> together(
+  destroy_closed();
+  const auto max_parts = static_cast<std::size_t>(carriage_.parts_a_call);
+  for (std::size_t from = 0; from < requests.size(); from += max_parts) {
+    const std::size_t to = std::min(requests.size(), from + max_parts);
+    std::vector<SendRequest> batch(
         std::make_move_iterator(requests.begin() + static_cast<std::ptrdiff_t>(from)),
         std::make_move_iterator(requests.begin() + static_cast<std::ptrdiff_t>(to)));
-    counters_.sends += together.size();
-    Link* link = link_for(server, together);
-    if (link == nullptr) {
-      for (const SendRequest& request : together) end(request, Fate::dial_failed);
+    counters_.sends += batch.size();
+    Connection* connection = connection_for(server, batch);
+    if (connection == nullptr) {
+      for (const SendRequest& request : batch) report_result(request, Fate::dial_failed);
       continue;
     }
-    Link::Pending call{'1', {}};
-    for (SendRequest& request : together) {
+    Connection::QueuedFrame call{'1', {}};
+    for (SendRequest& request : batch) {
       const SendKey key{request.part, request.send};
       const std::string id = request.id;
-      Link::Out out;
-      out.expiry = loop_.call_at(request.deadline, [this, key] { give_up(key, Fate::expired); });
-      out.request = std::move(request);
-      log::event(
-          log::Level::debug, "send.taken",
-          {{"part", id}, {"send", out.request.send}, {"server", server}, {"connection", link->number}});
-      out_.emplace(key, std::make_pair(link->number, id));
-      link->outs.emplace(id, std::move(out));
+      Connection::Send send;
+      send.expiry = loop_.call_at(request.deadline, [this, key] { abandon_send(key, Fate::expired); });
+      send.request = std::move(request);
+      log::event(log::Level::debug, "send.taken",
+                 {{"part", id},
+                  {"send", send.request.send},
+                  {"server", server},
+                  {"connection", connection->number}});
+      pending_sends_.emplace(key, std::make_pair(connection->number, id));
+      connection->sends.emplace(id, std::move(send));
       call.ids.push_back(id);
     }
-    link->pending.push_back(std::move(call));
-    pump(*link);
+    connection->queued_frames.push_back(std::move(call));
+    write_next_frame(*connection);
   }
 }
 
-void ShardServerPool::cancel_send(const Rid& part, int send) { give_up({part, send}, Fate::revoked); }
+void ShardServerPool::cancel_send(const Rid& part, int send) { abandon_send({part, send}, Fate::revoked); }
 
 void ShardServerPool::cancel_if_unsent(const Rid& part, int send) {
-  const auto at = out_.find({part, send});
-  if (at == out_.end()) return;
+  const auto at = pending_sends_.find({part, send});
+  if (at == pending_sends_.end()) return;
   const auto [number, id] = at->second;
-  Link& link = *links_.at(number);
-  if (link.outs.at(id).stage == Link::Stage::queued) settle(link, id, Fate::unused);
-  rest(link);
+  Connection& connection = *connections_.at(number);
+  if (connection.sends.at(id).stage == Connection::Stage::queued) finish_send(connection, id, Fate::unused);
+  manage_idle(connection);
 }
 
 void ShardServerPool::probe(const std::string& server) {
-  bury();
+  destroy_closed();
   counters_.probes += 1;
-  Link* link = link_for(server, {});
-  if (link == nullptr || link->probing) {
+  Connection* connection = connection_for(server, {});
+  if (connection == nullptr || connection->probing) {
     finished_probes.push_back({server, Fate::dial_failed, 0s, {}});
     return;
   }
-  link->probing = true;
-  link->probe_written = false;
-  link->probe_at = loop_.now();
-  const std::uint64_t number = link->number;
-  link->probe_expiry = loop_.call_at(loop_.now() + carriage_.connect_timeout, [this, number] {
-    const auto at = links_.find(number);
-    if (at == links_.end()) return;
+  connection->probing = true;
+  connection->probe_written = false;
+  connection->probe_at = loop_.now();
+  const std::uint64_t number = connection->number;
+  connection->probe_expiry = loop_.call_at(loop_.now() + carriage_.connect_timeout, [this, number] {
+    const auto at = connections_.find(number);
+    if (at == connections_.end()) return;
     at->second->probe_expiry.reset();
-    doubt(*at->second, at->second->probe_at);
-    end_probe(*at->second, Fate::expired);
-    rest(*at->second);
+    check_silence(*at->second, at->second->probe_at);
+    finish_probe(*at->second, Fate::expired);
+    manage_idle(*at->second);
   });
-  link->pending.push_back({'4', {}});
-  pump(*link);
-}
-
-// A connection that is open, or opening, has room, and has not kept silent. One on which an earlier send of
-// the same part may still be answered is passed over, since the answers could not be told apart. What ends a
-// connection, a spoilt answer or a server that closes it, takes all with it that is out there. For what may
-// be sent again that is a delay, but a non-retriable part is lost for another's fault; so such a part goes
-// where nothing else is out, and nothing joins it, as long as a server has few connections of ours. Harm:
-// about one more connection a server.
-ShardServerPool::Link* ShardServerPool::link_for(const std::string& server,
-                                                 const std::vector<SendRequest>& requests) {
+  connection->queued_frames.push_back({'4', {}});
+  write_next_frame(*connection);
+}
+
+// Returns a responsive connection with room for the sends, open or being opened, or begins to open one.
+// Connections on which an earlier send of the same part may still be answered are passed over, since the two
+// answers could not be told apart. Whatever ends a connection, such as an invalid answer or a close by the
+// server, ends all sends pending on it. For a retriable part that is a delay, but a non-retriable part would
+// be lost through another part's fault. Such a part therefore goes to a connection without pending sends, and
+// no other part joins it, while the server has fewer than kMaxIsolatingConnections. The cost is about one
+// more connection to each server.
+ShardServerPool::Connection* ShardServerPool::connection_for(const std::string& server,
+                                                             const std::vector<SendRequest>& requests) {
   if (!rows_.contains(server)) return nullptr;
-  const auto room = static_cast<std::size_t>(carriage_.parts_a_connection);
+  const auto max_parts = static_cast<std::size_t>(carriage_.parts_a_connection);
   const auto once = [](const SendRequest& request) { return request.non_retriable; };
-  const bool careful = std::any_of(requests.begin(), requests.end(), once);
-  Link* shared = nullptr;
-  int held = 0;
-  for (const auto& [number, link] : links_) {
-    if (link->server != server) continue;
-    for (const auto& [id, out] : link->outs) {
-      if (out.stage != Link::Stage::queued) doubt(*link, out.given_at);
+  const bool isolate = std::any_of(requests.begin(), requests.end(), once);
+  Connection* shared = nullptr;
+  int usable_count = 0;
+  for (const auto& [number, connection] : connections_) {
+    if (connection->server != server) continue;
+    for (const auto& [id, send] : connection->sends) {
+      if (send.stage != Connection::Stage::queued) check_silence(*connection, send.progress_at);
     }
-    if (!link->trusted || !link->current) continue;
-    ++held;
-    if (requests.empty() ? link->probing : link->outs.size() + requests.size() > room) continue;
-    std::erase_if(link->given_up, [&](const auto& one) { return one.second < loop_.now(); });
-    const bool clash = std::any_of(requests.begin(), requests.end(), [&](const SendRequest& request) {
-      return link->given_up.contains(request.id) || link->outs.contains(request.id);
+    if (!connection->responsive || !connection->current) continue;
+    ++usable_count;
+    if (requests.empty() ? connection->probing : connection->sends.size() + requests.size() > max_parts)
+      continue;
+    std::erase_if(connection->cancelled_ids, [&](const auto& one) { return one.second < loop_.now(); });
+    const bool ids_clash = std::any_of(requests.begin(), requests.end(), [&](const SendRequest& request) {
+      return connection->cancelled_ids.contains(request.id) || connection->sends.contains(request.id);
     });
-    if (clash) continue;
-    const bool apart = careful ? link->outs.empty()
-                               : std::none_of(link->outs.begin(), link->outs.end(),
-                                              [&](const auto& out) { return once(out.second.request); });
-    if (apart || requests.empty()) return link.get();
-    if (shared == nullptr) shared = link.get();
+    if (ids_clash) continue;
+    const bool isolated = isolate ? connection->sends.empty()
+                                  : std::none_of(connection->sends.begin(), connection->sends.end(),
+                                                 [&](const auto& send) { return once(send.second.request); });
+    if (isolated || requests.empty()) return connection.get();
+    if (shared == nullptr) shared = connection.get();
   }
-  if (shared != nullptr && held >= kMaxIsolatingConnections) return shared;
-  Link* fresh = dial(server);
-  return fresh != nullptr ? fresh : shared;
-}
-
-ShardServerPool::Link* ShardServerPool::dial(const std::string& server) {
-  const std::uint64_t number = next_link_++;
-  Link& link = *(links_[number] = std::make_unique<Link>());
-  link.number = number;
-  link.server = server;
-  link.last_heard = link.last_used = loop_.now();
-  link.race = book_.begin_race(server, loop_.now());
-  if (!race_on(link)) {
+  if (shared != nullptr && usable_count >= kMaxIsolatingConnections) return shared;
+  Connection* opened = open_connection(server);
+  return opened != nullptr ? opened : shared;
+}
+
+ShardServerPool::Connection* ShardServerPool::open_connection(const std::string& server) {
+  const std::uint64_t number = next_connection_++;
+  Connection& connection = *(connections_[number] = std::make_unique<Connection>());
+  connection.number = number;
+  connection.server = server;
+  connection.last_heard = connection.last_used = loop_.now();
+  connection.race = address_book_.begin_race(server, loop_.now());
+  if (!advance_race(connection)) {
     counters_.dial_failed += 1;
-    book_.end_race(*link.race);
-    links_.erase(number);
-    plan_trials();
+    address_book_.end_race(*connection.race);
+    connections_.erase(number);
+    schedule_trials();
     return nullptr;
   }
   counters_.opened += 1;
-  return &link;
+  return &connection;
 }
 
-// Carries out what the book decides for a race; false once it is lost.
-bool ShardServerPool::race_on(Link& link) {
-  if (link.race_wake) loop_.cancel(*link.race_wake);
-  link.race_wake.reset();
+// Carries out the address book's next steps for a race. Returns false once the race is lost.
+bool ShardServerPool::advance_race(Connection& connection) {
+  if (connection.race_timer) loop_.cancel(*connection.race_timer);
+  connection.race_timer.reset();
   for (;;) {
-    const addresses::RaceStep step = book_.next_step(*link.race, loop_.now());
+    const addresses::RaceStep step = address_book_.next_step(*connection.race, loop_.now());
     switch (step.action) {
       case addresses::RaceStep::Action::dial:
-        dial(link, step);
+        start_attempt(connection, step);
         break;
       case addresses::RaceStep::Action::abandon:
-        log::event(log::Level::debug, "server.attempt_abandoned",
-                   {{"server", link.server}, {"connection", link.number}, {"attempt", step.attempt}});
-        lay_down(link, step.attempt);
+        log::event(
+            log::Level::debug, "server.attempt_abandoned",
+            {{"server", connection.server}, {"connection", connection.number}, {"attempt", step.attempt}});
+        discard_candidate(connection, step.attempt);
         break;
       case addresses::RaceStep::Action::wait: {
-        const std::uint64_t number = link.number;
-        link.race_wake = loop_.call_at(step.wait_until, [this, number] {
-          const auto at = links_.find(number);
-          if (at == links_.end() || !at->second->race) return;
-          at->second->race_wake.reset();
-          if (!race_on(*at->second)) broke(*at->second, false);
+        const std::uint64_t number = connection.number;
+        connection.race_timer = loop_.call_at(step.wait_until, [this, number] {
+          const auto at = connections_.find(number);
+          if (at == connections_.end() || !at->second->race) return;
+          at->second->race_timer.reset();
+          if (!advance_race(*at->second)) end_connection(*at->second, false);
         });
         return true;
       }
@@ -310,150 +318,155 @@
   }
 }
 
-void ShardServerPool::dial(Link& link, const addresses::RaceStep& step) {
+void ShardServerPool::start_attempt(Connection& connection, const addresses::RaceStep& step) {
   net::Descriptor fd = net::start_connect(step.to);
   if (!fd && errno == EMFILE && make_room_()) fd = net::start_connect(step.to);
   if (!fd) {
-    const bool ours = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
-    book_.on_attempt_ended(
-        *link.race, step.attempt,
-        ours ? addresses::AttemptOutcome::no_local_resources : addresses::AttemptOutcome::refused,
+    const bool local_cause = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
+    address_book_.on_attempt_ended(
+        *connection.race, step.attempt,
+        local_cause ? addresses::AttemptOutcome::no_local_resources : addresses::AttemptOutcome::refused,
         loop_.now());
     return;
   }
-  Link* const to = &link;
+  Connection* const owner = &connection;
   const int attempt = step.attempt;
   const std::size_t most_out = static_cast<std::size_t>(carriage_.parts_a_call) * 66 * 1024 + 4096;
-  Runner runner;
-  runner.number = attempt;
-  runner.to = step.to;
-  runner.prove = step.needs_proof;
-  runner.stream = std::make_unique<net::Stream>(
+  Candidate candidate;
+  candidate.number = attempt;
+  candidate.to = step.to;
+  candidate.prove = step.needs_proof;
+  candidate.stream = std::make_unique<net::Stream>(
       loop_, std::move(fd), false, 64 * 1024, most_out,
-      net::Stream::Callbacks{[this, to, attempt] { came_up(*to, attempt); },
-                             [this, to, attempt] {
-                               if (to->winner == attempt) {
-                                 arrived(*to);
+      net::Stream::Callbacks{[this, owner, attempt] { on_candidate_connected(*owner, attempt); },
+                             [this, owner, attempt] {
+                               if (owner->winner == attempt) {
+                                 on_data(*owner);
                                } else {
-                                 runner_heard(*to, attempt);
+                                 on_candidate_data(*owner, attempt);
                                }
                              },
-                             [this, to, attempt] {
-                               if (to->winner == attempt) written(*to);
+                             [this, owner, attempt] {
+                               if (owner->winner == attempt) on_frame_written(*owner);
                              },
-                             [this, to, attempt](bool connected) {
-                               if (to->winner != attempt)
-                                 return runner_ended(*to, attempt,
-                                                     connected ? addresses::AttemptOutcome::reset_early
-                                                               : addresses::AttemptOutcome::refused);
-                               if (!to->answered)
-                                 book_.on_connection_failed(to->server, to->address,
-                                                            addresses::AttemptOutcome::reset_early,
-                                                            loop_.now());
-                               broke(*to, connected);
+                             [this, owner, attempt](bool connected) {
+                               if (owner->winner != attempt)
+                                 return on_candidate_ended(*owner, attempt,
+                                                           connected ? addresses::AttemptOutcome::reset_early
+                                                                     : addresses::AttemptOutcome::refused);
+                               if (!owner->has_responded)
+                                 address_book_.on_connection_failed(owner->server, owner->address,
+                                                                    addresses::AttemptOutcome::reset_early,
+                                                                    loop_.now());
+                               end_connection(*owner, connected);
                              }});
-  link.runners.push_back(std::move(runner));
+  connection.candidates.push_back(std::move(candidate));
 }
 
-void ShardServerPool::came_up(Link& link, int attempt) {
-  const auto runner = std::find_if(link.runners.begin(), link.runners.end(),
-                                   [&](const Runner& one) { return one.number == attempt; });
-  if (runner == link.runners.end()) return;
-  if (!runner->prove) return won(link, attempt);
+void ShardServerPool::on_candidate_connected(Connection& connection, int attempt) {
+  const auto candidate = std::find_if(connection.candidates.begin(), connection.candidates.end(),
+                                      [&](const Candidate& one) { return one.number == attempt; });
+  if (candidate == connection.candidates.end()) return;
+  if (!candidate->prove) return adopt_candidate(connection, attempt);
   std::string bytes;
   end_frame(bytes, begin_frame(bytes, '3'));
-  runner->stream->out().append(bytes);
+  candidate->stream->out().append(bytes);
   counters_.proofs += 1;
-  runner->stream->flush();
-}
-
-// Any frame that can be read proves that a server is there and speaks.
-void ShardServerPool::runner_heard(Link& link, int attempt) {
-  const auto runner = std::find_if(link.runners.begin(), link.runners.end(),
-                                   [&](const Runner& one) { return one.number == attempt; });
-  if (runner == link.runners.end()) return;
-  net::RingBuffer& in = runner->stream->in();
-  while (!in.empty() && runner->reader.state() == FrameParser::State::incomplete)
-    in.consume(runner->reader.feed(in.front()));
-  if (runner->reader.state() == FrameParser::State::malformed) {
-    runner->stream->close();
-    return runner_ended(link, attempt, addresses::AttemptOutcome::reset_early);
+  candidate->stream->flush();
+}
+
+// Any valid frame proves that a server is there and responds.
+void ShardServerPool::on_candidate_data(Connection& connection, int attempt) {
+  const auto candidate = std::find_if(connection.candidates.begin(), connection.candidates.end(),
+                                      [&](const Candidate& one) { return one.number == attempt; });
+  if (candidate == connection.candidates.end()) return;
+  net::RingBuffer& in = candidate->stream->in();
+  while (!in.empty() && candidate->parser.state() == FrameParser::State::incomplete)
+    in.consume(candidate->parser.feed(in.front()));
+  if (candidate->parser.state() == FrameParser::State::malformed) {
+    candidate->stream->close();
+    return on_candidate_ended(connection, attempt, addresses::AttemptOutcome::reset_early);
   }
-  if (runner->reader.state() == FrameParser::State::complete) won(link, attempt);
-}
-
-void ShardServerPool::runner_ended(Link& link, int attempt, addresses::AttemptOutcome end) {
-  if (!link.race) return;
-  log::event(
-      log::Level::debug, "server.attempt_failed",
-      {{"server", link.server}, {"connection", link.number}, {"attempt", attempt}, {"how", name_of(end)}});
-  book_.on_attempt_ended(*link.race, attempt, end, loop_.now());
-  lay_down(link, attempt);
-  if (!race_on(link)) return broke(link, false);
-  plan_trials();
-}
-
-// Closed unused; kept until nothing can be telling of it any more.
-void ShardServerPool::lay_down(Link& link, int attempt) {
-  const auto runner = std::find_if(link.runners.begin(), link.runners.end(),
-                                   [&](const Runner& one) { return one.number == attempt; });
-  if (runner == link.runners.end()) return;
-  runner->stream->close();
-  stream_graves_.push_back(std::move(runner->stream));
-  link.runners.erase(runner);
-}
-
-void ShardServerPool::won(Link& link, int attempt) {
-  const auto runner = std::find_if(link.runners.begin(), link.runners.end(),
-                                   [&](const Runner& one) { return one.number == attempt; });
-  // A list that has taken the address away meanwhile takes it out of the race as well.
-  if (rows_.contains(link.server) && !book_.is_usable(link.server, runner->to))
-    return runner_ended(link, attempt, addresses::AttemptOutcome::not_needed);
-  book_.on_attempt_ended(*link.race, attempt, addresses::AttemptOutcome::connected, loop_.now());
-  book_.end_race(*link.race);
-  link.race.reset();
-  if (link.race_wake) loop_.cancel(*link.race_wake);
-  link.race_wake.reset();
-  link.winner = attempt;
-  link.address = runner->to;
-  link.stream = std::move(runner->stream);
-  link.runners.erase(runner);
-  while (!link.runners.empty()) lay_down(link, link.runners.front().number);
-  link.current = book_.is_usable(link.server, link.address);
-  link.last_heard = loop_.now();
-  plan_trials();
-  pump(link);
-  if (!link.ended && !link.stream->in().empty()) arrived(link);
+  if (candidate->parser.state() == FrameParser::State::complete) adopt_candidate(connection, attempt);
+}
+
+void ShardServerPool::on_candidate_ended(Connection& connection, int attempt,
+                                         addresses::AttemptOutcome outcome) {
+  if (!connection.race) return;
+  log::event(log::Level::debug, "server.attempt_failed",
+             {{"server", connection.server},
+              {"connection", connection.number},
+              {"attempt", attempt},
+              {"how", name_of(outcome)}});
+  address_book_.on_attempt_ended(*connection.race, attempt, outcome, loop_.now());
+  discard_candidate(connection, attempt);
+  if (!advance_race(connection)) return end_connection(connection, false);
+  schedule_trials();
+}
+
+// Closes a candidate. Its stream is destroyed later, since one of the stream's callbacks may be running.
+void ShardServerPool::discard_candidate(Connection& connection, int attempt) {
+  const auto candidate = std::find_if(connection.candidates.begin(), connection.candidates.end(),
+                                      [&](const Candidate& one) { return one.number == attempt; });
+  if (candidate == connection.candidates.end()) return;
+  candidate->stream->close();
+  closed_streams_.push_back(std::move(candidate->stream));
+  connection.candidates.erase(candidate);
+}
+
+void ShardServerPool::adopt_candidate(Connection& connection, int attempt) {
+  const auto candidate = std::find_if(connection.candidates.begin(), connection.candidates.end(),
+                                      [&](const Candidate& one) { return one.number == attempt; });
+  // An address that the list has removed meanwhile is out of the race as well.
+  if (rows_.contains(connection.server) && !address_book_.is_usable(connection.server, candidate->to))
+    return on_candidate_ended(connection, attempt, addresses::AttemptOutcome::not_needed);
+  address_book_.on_attempt_ended(*connection.race, attempt, addresses::AttemptOutcome::connected,
+                                 loop_.now());
+  address_book_.end_race(*connection.race);
+  connection.race.reset();
+  if (connection.race_timer) loop_.cancel(*connection.race_timer);
+  connection.race_timer.reset();
+  connection.winner = attempt;
+  connection.address = candidate->to;
+  connection.stream = std::move(candidate->stream);
+  connection.candidates.erase(candidate);
+  while (!connection.candidates.empty()) discard_candidate(connection, connection.candidates.front().number);
+  connection.current = address_book_.is_usable(connection.server, connection.address);
+  connection.last_heard = loop_.now();
+  schedule_trials();
+  write_next_frame(connection);
+  if (!connection.ended && !connection.stream->in().empty()) on_data(connection);
 }
 
 // ---- trials ----
 
-void ShardServerPool::plan_trials() {
-  if (trial_wake_) loop_.cancel(*trial_wake_);
-  trial_wake_.reset();
-  const auto at = book_.next_trial_time();
+void ShardServerPool::schedule_trials() {
+  if (trial_timer_) loop_.cancel(*trial_timer_);
+  trial_timer_.reset();
+  const auto at = address_book_.next_trial_time();
   if (!at) return;
-  trial_wake_ = loop_.call_at(*at, [this] {
-    trial_wake_.reset();
-    bury();
-    while (const auto trial = book_.next_trial(loop_.now())) start_trial(*trial);
-    plan_trials();
+  trial_timer_ = loop_.call_at(*at, [this] {
+    trial_timer_.reset();
+    destroy_closed();
+    while (const auto trial = address_book_.next_trial(loop_.now())) start_trial(*trial);
+    schedule_trials();
   });
 }
 
-// No client is let go for a trial: without a descriptor there is none now.
-void ShardServerPool::start_trial(const addresses::Trial& what) {
-  net::Descriptor fd = net::start_connect(what.to);
+// Without a free descriptor there is no trial now; no client is disconnected for one.
+void ShardServerPool::start_trial(const addresses::Trial& spec) {
+  net::Descriptor fd = net::start_connect(spec.to);
   if (!fd) {
-    const bool ours = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
-    return book_.on_trial_ended(
-        what, ours ? addresses::AttemptOutcome::no_local_resources : addresses::AttemptOutcome::refused, {},
+    const bool local_cause = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
+    return address_book_.on_trial_ended(
+        spec,
+        local_cause ? addresses::AttemptOutcome::no_local_resources : addresses::AttemptOutcome::refused, {},
         loop_.now());
   }
   const std::uint64_t number = next_trial_++;
-  auto made = std::make_unique<Trial>();
-  Trial* const trial = made.get();
-  trial->what = what;
+  auto owned = std::make_unique<Trial>();
+  Trial* const trial = owned.get();
+  trial->spec = spec;
   trial->started = loop_.now();
   trial->stream = std::make_unique<net::Stream>(
       loop_, std::move(fd), false, 4096, 4096,
@@ -465,10 +478,10 @@
                              },
                              [this, trial, number] {
                                net::RingBuffer& in = trial->stream->in();
-                               while (!in.empty() && trial->reader.state() == FrameParser::State::incomplete)
-                                 in.consume(trial->reader.feed(in.front()));
-                               if (trial->reader.state() == FrameParser::State::incomplete) return;
-                               end_trial(number, trial->reader.state() == FrameParser::State::complete
+                               while (!in.empty() && trial->parser.state() == FrameParser::State::incomplete)
+                                 in.consume(trial->parser.feed(in.front()));
+                               if (trial->parser.state() == FrameParser::State::incomplete) return;
+                               end_trial(number, trial->parser.state() == FrameParser::State::complete
                                                      ? addresses::AttemptOutcome::connected
                                                      : addresses::AttemptOutcome::reset_early);
                              },
@@ -477,187 +490,191 @@
                                end_trial(number, connected ? addresses::AttemptOutcome::reset_early
                                                            : addresses::AttemptOutcome::refused);
                              }});
-  trial->expiry = loop_.call_at(loop_.now() + what.limit, [this, number, trial] {
+  trial->expiry = loop_.call_at(loop_.now() + spec.limit, [this, number, trial] {
     end_trial(number, trial->stream->is_connected() ? addresses::AttemptOutcome::unresponsive
                                                     : addresses::AttemptOutcome::timed_out);
   });
-  trials_.emplace(number, std::move(made));
+  trials_.emplace(number, std::move(owned));
 }
 
-void ShardServerPool::end_trial(std::uint64_t number, addresses::AttemptOutcome end) {
+void ShardServerPool::end_trial(std::uint64_t number, addresses::AttemptOutcome outcome) {
   const auto at = trials_.find(number);
   if (at == trials_.end()) return;
   Trial& trial = *at->second;
   loop_.cancel(trial.expiry);
   trial.stream->close();
   log::event(log::Level::info, "server.address_tried",
-             {{"server", trial.what.server}, {"address", trial.what.to.text()}, {"how", name_of(end)}});
-  book_.on_trial_ended(trial.what, end, loop_.now() - trial.started, loop_.now());
-  trial_graves_.push_back(std::move(at->second));
+             {{"server", trial.spec.server}, {"address", trial.spec.to.text()}, {"how", name_of(outcome)}});
+  address_book_.on_trial_ended(trial.spec, outcome, loop_.now() - trial.started, loop_.now());
+  ended_trials_.push_back(std::move(at->second));
   trials_.erase(at);
-  plan_trials();
+  schedule_trials();
 }
 
 std::size_t ShardServerPool::socket_count() const {
-  std::size_t out = trials_.size();
-  for (const auto& [number, link] : links_) out += link->race ? link->runners.size() : 1;
-  return out;
-}
-
-// Writes the next frame. One frame at a time is in the ring, so that what is withdrawn before its turn is
-// never written, and so that each frame's last byte is told apart.
-void ShardServerPool::pump(Link& link) {
-  while (link.stream && !link.stream->is_closed() && link.writing.type == 0 && !link.pending.empty()) {
-    link.writing = std::move(link.pending.front());
-    link.pending.pop_front();
+  std::size_t count = trials_.size();
+  for (const auto& [number, connection] : connections_)
+    count += connection->race ? connection->candidates.size() : 1;
+  return count;
+}
+
+// Writes the next frame. The ring buffer holds one frame at a time, so that sends cancelled before their turn
+// are never written, and so that on_drained marks the end of each frame.
+void ShardServerPool::write_next_frame(Connection& connection) {
+  while (connection.stream && !connection.stream->is_closed() && connection.writing.type == 0 &&
+         !connection.queued_frames.empty()) {
+    connection.writing = std::move(connection.queued_frames.front());
+    connection.queued_frames.pop_front();
     std::string bytes;
-    const std::size_t place = begin_frame(bytes, link.writing.type);
-    if (link.writing.type == '1') {
-      // What waited for the connection, or behind another's frame, is not written any more where the list has
-      // taken the server out meanwhile, or the window for its repeat is over.
-      const bool takes_more = up(link.server);
-      std::erase_if(link.writing.ids, [&](const std::string& id) {
-        const auto out = link.outs.find(id);
-        if (out == link.outs.end()) return true;
-        if (takes_more && loop_.now() < out->second.request.start_deadline) return false;
-        settle(link, id, Fate::unused);
+    const std::size_t place = begin_frame(bytes, connection.writing.type);
+    if (connection.writing.type == '1') {
+      // A send that waited for the connection or behind another frame is not written if the server no longer
+      // accepts sends, or if its start deadline (the dedupe window of a repeat) has passed.
+      const bool server_accepts = accepts_sends(connection.server);
+      std::erase_if(connection.writing.ids, [&](const std::string& id) {
+        const auto send = connection.sends.find(id);
+        if (send == connection.sends.end()) return true;
+        if (server_accepts && loop_.now() < send->second.request.start_deadline) return false;
+        finish_send(connection, id, Fate::unused);
         return true;
       });
-      for (const std::string& id : link.writing.ids) {
-        Link::Out& out = link.outs.at(id);
-        out.stage = Link::Stage::writing;
-        out.given_at = loop_.now();
-        const auto left = std::max<std::int64_t>((out.request.deadline - loop_.now()) / 1ms, 1);
-        append_part(bytes, id, out.request.shard, "d=" + std::to_string(left) + out.request.list_suffix,
-                    *out.request.text);
+      for (const std::string& id : connection.writing.ids) {
+        Connection::Send& send = connection.sends.at(id);
+        send.stage = Connection::Stage::writing;
+        send.progress_at = loop_.now();
+        const auto left = std::max<std::int64_t>((send.request.deadline - loop_.now()) / 1ms, 1);
+        append_part(bytes, id, send.request.shard, "d=" + std::to_string(left) + send.request.list_suffix,
+                    *send.request.text);
       }
-      if (!link.writing.ids.empty()) counters_.calls += 1;
-    } else if (link.writing.type == '2') {
-      bytes += link.writing.ids.front();
+      if (!connection.writing.ids.empty()) counters_.calls += 1;
+    } else if (connection.writing.type == '2') {
+      bytes += connection.writing.ids.front();
     }
-    if (link.writing.type == '1' && link.writing.ids.empty()) {
-      link.writing = {};
+    if (connection.writing.type == '1' && connection.writing.ids.empty()) {
+      connection.writing = {};
       continue;
     }
     end_frame(bytes, place);
-    if (!must_hold(link.stream->out().append(bytes), "a frame fits its ring")) {
-      drop(link, "a frame too large to write");
+    if (!must_hold(connection.stream->out().append(bytes), "a frame fits its ring")) {
+      close(connection, "frame too large to write");
       return;
     }
-    link.stream->flush();
+    connection.stream->flush();
   }
 }
 
-void ShardServerPool::written(Link& link) {
-  const Link::Pending frame = std::exchange(link.writing, {});
+void ShardServerPool::on_frame_written(Connection& connection) {
+  const Connection::QueuedFrame frame = std::exchange(connection.writing, {});
   if (frame.type == '1') {
-    link.last_used = loop_.now();
+    connection.last_used = loop_.now();
     for (const std::string& id : frame.ids) {
-      Link::Out& out = link.outs.at(id);
-      out.stage = Link::Stage::written;
-      out.given_at = loop_.now();
-      if (!out.over) continue;
-      link.pending.push_front({'2', {id}});
-      link.given_up[id] = out.request.deadline + carriage_.longest_timeout;
-      link.outs.erase(id);
+      Connection::Send& send = connection.sends.at(id);
+      send.stage = Connection::Stage::written;
+      send.progress_at = loop_.now();
+      if (!send.ended) continue;
+      connection.queued_frames.push_front({'2', {id}});
+      connection.cancelled_ids[id] = send.request.deadline + carriage_.longest_timeout;
+      connection.sends.erase(id);
     }
   } else if (frame.type == '4') {
-    link.probe_written = true;
+    connection.probe_written = true;
   }
-  pump(link);
-}
-
-void ShardServerPool::arrived(Link& link) {
-  if (loop_.now() - heard_ > 4 * carriage_.tick && !out_.empty()) silent_until_ = loop_.now();
-  heard_ = loop_.now();
-  link.last_heard = loop_.now();
-  link.trusted = true;
-  if (!std::exchange(link.answered, true)) book_.on_response(link.server, link.address);
-  net::RingBuffer& in = link.stream->in();
-  while (!link.stream->is_closed() && !in.empty()) {
-    in.consume(link.reader.feed(in.front()));
-    if (link.reader.state() == FrameParser::State::malformed) {
+  write_next_frame(connection);
+}
+
+void ShardServerPool::on_data(Connection& connection) {
+  if (loop_.now() - last_heard_ > 4 * carriage_.tick && !pending_sends_.empty()) silent_until_ = loop_.now();
+  last_heard_ = loop_.now();
+  connection.last_heard = loop_.now();
+  connection.responsive = true;
+  if (!std::exchange(connection.has_responded, true))
+    address_book_.on_response(connection.server, connection.address);
+  net::RingBuffer& in = connection.stream->in();
+  while (!connection.stream->is_closed() && !in.empty()) {
+    in.consume(connection.parser.feed(in.front()));
+    if (connection.parser.state() == FrameParser::State::malformed) {
       counters_.odd_frames += 1;
-      return drop(link, "a frame that cannot be read");
+      return close(connection, "invalid frame");
     }
-    if (link.reader.state() != FrameParser::State::complete) {
-      expect_more(link);
+    if (connection.parser.state() != FrameParser::State::complete) {
+      arm_frame_timeout(connection);
       continue;
     }
-    Frame frame = std::move(link.reader.frame());
-    link.reader.reset();
-    heard(link, frame);
+    Frame frame = std::move(connection.parser.frame());
+    connection.parser.reset();
+    on_frame(connection, frame);
   }
 }
 
-// A frame that has begun and is not gone on with is spoilt, and so is its connection: what is out there ends
-// at once instead of at a time limit. Harm: a server that stands still in the middle of a frame loses it.
-void ShardServerPool::expect_more(Link& link) {
-  if (std::exchange(link.reading_on, true)) return;
-  const std::uint64_t number = link.number;
+// A frame that stays incomplete makes its connection useless. The pending sends then end at once rather than
+// at their own deadlines. The cost: a server that pauses in the middle of a frame loses that connection.
+void ShardServerPool::arm_frame_timeout(Connection& connection) {
+  if (std::exchange(connection.frame_timeout_armed, true)) return;
+  const std::uint64_t number = connection.number;
   loop_.call_at(loop_.now() + carriage_.connect_timeout, [this, number] {
-    const auto at = links_.find(number);
-    if (at == links_.end()) return;
-    Link& late = *at->second;
-    late.reading_on = false;
-    if (!late.reader.has_started()) return;
-    if (loop_.now() < late.last_heard + carriage_.connect_timeout) return expect_more(late);
+    const auto at = connections_.find(number);
+    if (at == connections_.end()) return;
+    Connection& late = *at->second;
+    late.frame_timeout_armed = false;
+    if (!late.parser.has_started()) return;
+    if (loop_.now() < late.last_heard + carriage_.connect_timeout) return arm_frame_timeout(late);
     counters_.odd_frames += 1;
-    drop(late, "a frame that is not gone on with");
+    close(late, "frame incomplete after the connect time-out");
   });
 }
 
-void ShardServerPool::heard(Link& link, Frame& frame) {
+void ShardServerPool::on_frame(Connection& connection, Frame& frame) {
   if (frame.type == '5') {
     auto answer = parse_part_answer(frame, carriage_.report_fields);
     if (!answer) {
       counters_.odd_frames += 1;
-      return drop(link, "an answer that cannot be read");
+      return close(connection, "invalid answer");
     }
-    const auto at = link.outs.find(answer->id);
-    if (at == link.outs.end() || at->second.stage != Link::Stage::written) {
-      // The answer to a part that was given up may have crossed the frame that says so.
-      if (link.given_up.erase(answer->id) > 0) return;
-      // Any other is one part's answer under another's id, or comes twice: what is read here no longer fits
-      // what was asked, and who waits here would wait in vain.
+    const auto at = connection.sends.find(answer->id);
+    if (at == connection.sends.end() || at->second.stage != Connection::Stage::written) {
+      // The answer to a cancelled send may have crossed the cancel frame.
+      if (connection.cancelled_ids.erase(answer->id) > 0) return;
+      // Any other answer carries another part's id or is a duplicate: answers no longer match the sends, and
+      // those pending here would wait in vain.
       counters_.odd_frames += 1;
-      return drop(link, "an answer for a part that is not out there");
+      return close(connection, "answer for a part that is not pending");
     }
     const Fate fate = answer->outcome == 'S'   ? Fate::returned
                       : answer->outcome == 'E' ? Fate::app_error
                                                : Fate::pushed_back;
     const std::string id = answer->id;
-    settle(link, id, fate, std::move(*answer));
-    rest(link);
-  } else if (frame.type == '4' && link.probing && link.probe_written) {
+    finish_send(connection, id, fate, std::move(*answer));
+    manage_idle(connection);
+  } else if (frame.type == '4' && connection.probing && connection.probe_written) {
     if (frame.payload == "E") {
-      end_probe(link, Fate::app_error);
+      finish_probe(connection, Fate::app_error);
     } else {
-      end_probe(link, Fate::returned, parse_load_report(frame.payload, carriage_.report_fields));
+      finish_probe(connection, Fate::returned, parse_load_report(frame.payload, carriage_.report_fields));
     }
-    rest(link);
+    manage_idle(connection);
   } else if (frame.type == 'X') {
     counters_.odd_frames += 1;
-    drop(link, "it could not use a frame");
+    close(connection, "the server rejected a frame");
   } else if (frame.type != '3' && frame.type != '4') {
     counters_.odd_frames += 1;
-    drop(link, "a frame that shard servers do not send");
+    close(connection, "frame type that shard servers do not send");
   }
 }
 
-// A send that is out on this link comes to its end.
-void ShardServerPool::settle(Link& link, const std::string& id, Fate fate, PartAnswer answer) {
-  const auto at = link.outs.find(id);
-  Link::Out out = std::move(at->second);
-  link.outs.erase(at);
-  link.last_used = loop_.now();
-  if (out.over) return;  // told already
-  loop_.cancel(out.expiry);
-  out_.erase({out.request.part, out.request.send});
-  end(out.request, fate, std::move(answer));
+// Ends a send that is pending on this connection.
+void ShardServerPool::finish_send(Connection& connection, const std::string& id, Fate fate,
+                                  PartAnswer answer) {
+  const auto at = connection.sends.find(id);
+  Connection::Send send = std::move(at->second);
+  connection.sends.erase(at);
+  connection.last_used = loop_.now();
+  if (send.ended) return;  // reported already
+  loop_.cancel(send.expiry);
+  pending_sends_.erase({send.request.part, send.request.send});
+  report_result(send.request, fate, std::move(answer));
 }
 
-void ShardServerPool::end(const SendRequest& request, Fate fate, PartAnswer answer) {
+void ShardServerPool::report_result(const SendRequest& request, Fate fate, PartAnswer answer) {
   static constexpr std::array<const char*, 8> kNames{"returned",    "app_error", "pushed_back", "expired",
                                                      "dial_failed", "dropped",   "revoked",     "unused"};
   if (fate != Fate::returned)
@@ -673,112 +690,117 @@
                             answer.score, std::move(answer.value)});
 }
 
-void ShardServerPool::give_up(const SendKey& key, Fate fate) {
-  const auto at = out_.find(key);
-  if (at == out_.end()) return;
+void ShardServerPool::abandon_send(const SendKey& key, Fate fate) {
+  const auto at = pending_sends_.find(key);
+  if (at == pending_sends_.end()) return;
   const auto [number, id] = at->second;
-  Link& link = *links_.at(number);
-  Link::Out& out = link.outs.at(id);
-  if (out.stage == Link::Stage::queued) {
-    settle(link, id, Fate::unused);  // not written, and now it never will be
-  } else if (out.stage == Link::Stage::writing) {
-    loop_.cancel(out.expiry);
-    out_.erase(at);
-    out.over = true;
-    doubt(link, out.given_at);
-    end(out.request, fate);
+  Connection& connection = *connections_.at(number);
+  Connection::Send& send = connection.sends.at(id);
+  if (send.stage == Connection::Stage::queued) {
+    finish_send(connection, id, Fate::unused);  // never written
+  } else if (send.stage == Connection::Stage::writing) {
+    loop_.cancel(send.expiry);
+    pending_sends_.erase(at);
+    send.ended = true;
+    check_silence(connection, send.progress_at);
+    report_result(send.request, fate);
   } else {
-    doubt(link, out.given_at);
-    link.given_up[id] = out.request.deadline + carriage_.longest_timeout;
-    settle(link, id, fate);
-    link.pending.push_back({'2', {id}});
-    pump(link);
+    check_silence(connection, send.progress_at);
+    connection.cancelled_ids[id] = send.request.deadline + carriage_.longest_timeout;
+    finish_send(connection, id, fate);
+    connection.queued_frames.push_back({'2', {id}});
+    write_next_frame(connection);
   }
-  rest(link);
-}
-
-// A machine that vanished leaves its connections open and silent. Once one has kept silent over something it
-// was given for as long as a new one may take to come up, new sends go over another, which tells a vanished
-// machine by not coming up: proof that they never ran, without which non-retriable parts are lost. It is
-// trusted again when it speaks. Harm: a server that is only slow gets a few more connections.
-void ShardServerPool::doubt(Link& link, Duration since) {
-  if (link.last_heard > since || loop_.now() - since < carriage_.connect_timeout) return;
-  if (std::exchange(link.trusted, false) && !link.answered) {
-    book_.on_connection_failed(link.server, link.address, addresses::AttemptOutcome::unresponsive,
-                               loop_.now());
-    plan_trials();
+  manage_idle(connection);
+}
+
+// A machine that vanishes leaves its connections open and silent. Once a connection has been silent about a
+// send or a probe for as long as the connect time-out, new sends use another connection. Opening one to a
+// vanished machine fails, which proves that these sends never ran; without that proof non-retriable parts
+// would be lost. The connection is used again when it responds. The cost: a server that is only slow gets a
+// few more connections.
+void ShardServerPool::check_silence(Connection& connection, Duration since) {
+  if (connection.last_heard > since || loop_.now() - since < carriage_.connect_timeout) return;
+  if (std::exchange(connection.responsive, false) && !connection.has_responded) {
+    address_book_.on_connection_failed(connection.server, connection.address,
+                                       addresses::AttemptOutcome::unresponsive, loop_.now());
+    schedule_trials();
   }
 }
 
-void ShardServerPool::end_probe(Link& link, Fate fate, LoadReport report) {
-  if (!link.probing) return;
-  link.probing = false;
-  if (link.probe_expiry) loop_.cancel(*link.probe_expiry);
-  link.probe_expiry.reset();
-  finished_probes.push_back({link.server, fate, loop_.now() - link.probe_at, report});
-}
-
-// A link with nothing to do is closed before the server may close it: what is written after that is reset,
-// and may have run as far as anyone can tell. One that is not trusted is closed at once. So is one that is
-// wanted no more while its server leaves a frame half taken whose parts have all had their fate: nobody else
-// would ever end it.
-void ShardServerPool::rest(Link& link) {
-  if (link.ended || link.probing || link.race) return;
-  if (link.writing.type != 0 && !wanted(link) &&
-      std::all_of(link.outs.begin(), link.outs.end(), [](const auto& one) { return one.second.over; }))
-    return drop(link, "its server does not take a frame");
-  if (!link.outs.empty() || !link.pending.empty() || link.writing.type != 0) return;
-  if (!wanted(link)) return drop(link, link.trusted ? "its server takes nothing new" : "it kept silent");
-  if (link.idle_expiry) return;
-  const std::uint64_t number = link.number;
+void ShardServerPool::finish_probe(Connection& connection, Fate fate, LoadReport report) {
+  if (!connection.probing) return;
+  connection.probing = false;
+  if (connection.probe_expiry) loop_.cancel(*connection.probe_expiry);
+  connection.probe_expiry.reset();
+  finished_probes.push_back({connection.server, fate, loop_.now() - connection.probe_at, report});
+}
+
+// Closes idle connections before the server may close them: a send written after the server's close is reset,
+// and may have run for all that the gatherer can tell. An idle connection that is no longer wanted is closed
+// at once. So is one whose server does not read the rest of a frame although all sends in it have ended,
+// since nothing else would ever close it.
+void ShardServerPool::manage_idle(Connection& connection) {
+  if (connection.ended || connection.probing || connection.race) return;
+  if (connection.writing.type != 0 && !is_wanted(connection) &&
+      std::all_of(connection.sends.begin(), connection.sends.end(),
+                  [](const auto& one) { return one.second.ended; }))
+    return close(connection, "the server does not read a frame");
+  if (!connection.sends.empty() || !connection.queued_frames.empty() || connection.writing.type != 0) return;
+  if (!is_wanted(connection))
+    return close(connection, connection.responsive ? "the server accepts no new sends" : "no response");
+  if (connection.idle_expiry) return;
+  const std::uint64_t number = connection.number;
   const Duration allowed = std::max(carriage_.idle - carriage_.connect_timeout, carriage_.idle / 2);
-  link.idle_expiry = loop_.call_at(link.last_used + allowed, [this, number, allowed] {
-    const auto at = links_.find(number);
-    if (at == links_.end()) return;
-    Link& idle = *at->second;
+  connection.idle_expiry = loop_.call_at(connection.last_used + allowed, [this, number, allowed] {
+    const auto at = connections_.find(number);
+    if (at == connections_.end()) return;
+    Connection& idle = *at->second;
     idle.idle_expiry.reset();
-    if (idle.outs.empty() && loop_.now() >= idle.last_used + allowed && !idle.probing) {
-      drop(idle, "idle");
+    if (idle.sends.empty() && loop_.now() >= idle.last_used + allowed && !idle.probing) {
+      close(idle, "idle");
     } else {
-      rest(idle);
+      manage_idle(idle);
     }
   });
 }
 
-void ShardServerPool::drop(Link& link, const char* why) {
+void ShardServerPool::close(Connection& connection, const char* reason) {
   log::event(log::Level::debug, "server.connection_closed",
-             {{"server", link.server}, {"connection", link.number}, {"why", why}});
-  if (link.stream) link.stream->close();
-  broke(link, link.stream != nullptr);
+             {{"server", connection.server}, {"connection", connection.number}, {"why", reason}});
+  if (connection.stream) connection.stream->close();
+  end_connection(connection, connection.stream != nullptr);
 }
 
-void ShardServerPool::broke(Link& link, bool connected) {
-  log::event(log::Level::debug, connected ? "server.connection_ended" : "server.not_connected",
-             {{"server", link.server}, {"connection", link.number}, {"sends", link.outs.size()}});
-  link.ended = true;
-  for (auto* timer : {&link.race_wake, &link.idle_expiry}) {
+void ShardServerPool::end_connection(Connection& connection, bool connected) {
+  log::event(
+      log::Level::debug, connected ? "server.connection_ended" : "server.not_connected",
+      {{"server", connection.server}, {"connection", connection.number}, {"sends", connection.sends.size()}});
+  connection.ended = true;
+  for (auto* timer : {&connection.race_timer, &connection.idle_expiry}) {
     if (*timer) loop_.cancel(**timer);
     timer->reset();
   }
-  if (link.race) book_.end_race(*link.race);
-  link.race.reset();
-  while (!link.runners.empty()) lay_down(link, link.runners.front().number);
-  while (!link.outs.empty()) {
-    const auto& [id, out] = *link.outs.begin();
-    settle(link, std::string(id), out.stage == Link::Stage::written ? Fate::dropped : Fate::dial_failed);
+  if (connection.race) address_book_.end_race(*connection.race);
+  connection.race.reset();
+  while (!connection.candidates.empty()) discard_candidate(connection, connection.candidates.front().number);
+  while (!connection.sends.empty()) {
+    const auto& [id, send] = *connection.sends.begin();
+    finish_send(connection, std::string(id),
+                send.stage == Connection::Stage::written ? Fate::dropped : Fate::dial_failed);
   }
-  end_probe(link, link.probe_written ? Fate::dropped : Fate::dial_failed);
-  const auto at = links_.find(link.number);
-  if (at == links_.end()) return;
-  graves_.push_back(std::move(at->second));
-  links_.erase(at);
-  plan_trials();
-}
-
-void ShardServerPool::bury() {
-  graves_.clear();
-  trial_graves_.clear();
-  stream_graves_.clear();
+  finish_probe(connection, connection.probe_written ? Fate::dropped : Fate::dial_failed);
+  const auto at = connections_.find(connection.number);
+  if (at == connections_.end()) return;
+  closed_connections_.push_back(std::move(at->second));
+  connections_.erase(at);
+  schedule_trials();
+}
+
+void ShardServerPool::destroy_closed() {
+  closed_connections_.clear();
+  ended_trials_.clear();
+  closed_streams_.clear();
 }
 
 }  // namespace marbledyke::servers
--- a/src/servers/shard_server_pool.h
+++ b/src/servers/shard_server_pool.h
@@ -1,4 +1,4 @@
-// The connections to the shard servers: sends go out as calls, and each comes back with exactly one fate.
+// The connections to the shard servers. Sends go out in calls, and each send ends with exactly one fate.
 #pragma once
 
 #include <deque>
@@ -19,33 +19,35 @@
 
 namespace marbledyke::servers {
 
-inline constexpr int kMaxIsolatingConnections =
-    4;  // to one server, beyond which none is opened to keep parts apart
+// Connections to one server up to which a new one is opened to keep a non-retriable part apart from others.
+inline constexpr int kMaxIsolatingConnections = 4;
 
-// A send as it is to be carried out.
+// A send to be carried out: one attempt of a part.
 struct SendRequest {
   Rid part;
   int send = 0;
   std::string id;  // the part's id on the wire
   int shard = 0;
-  bool non_retriable = false;  // may never be sent again if it may have run
-  std::string list_suffix;     // what its list holds beside the time left
+  bool non_retriable = false;  // must not be sent again once it may have run
+  std::string list_suffix;     // appended to the time left in the part's list of settings
   std::shared_ptr<const std::string> text;
-  Duration deadline{};
-  Duration start_deadline = Duration::max();
-  Duration issued_at{};
+  Duration deadline{};                        // the send expires then
+  Duration start_deadline = Duration::max();  // a send that is not being written by then is never written
+  Duration issued_at{};                       // when the decision engine issued it
 };
 
+// How a send ended.
 struct SendResult {
   Rid part;
   int send = 0;
   Fate fate = Fate::unused;
-  Duration elapsed{};
+  Duration elapsed{};  // since it was issued
   LoadReport report;
   double score = 0;
   std::string value;
 };
 
+// How a probe of a server's load ended.
 struct ProbeResult {
   std::string server;
   Fate fate = Fate::unused;
@@ -60,90 +62,97 @@
 
 class ShardServerPool {
  public:
-  // make_room is asked for a descriptor where none is left.
+  // make_room is called when no descriptor is left; it returns whether it closed one. The carriage settings
+  // have to outlive the pool.
   ShardServerPool(net::Loop& loop, const config::Carriage& carriage, std::uint32_t seed,
                   std::function<bool()> make_room);
   ~ShardServerPool();
 
-  // The operator's rules for connecting and its own addresses; in place of those before.
-  void configure(const addresses::ConnectSettings& rules,
-                 std::map<std::string, addresses::AddressBook::ServerOverride, std::less<>> configured);
+  // Replaces the operator's settings for connecting and its own addresses.
+  void configure(const addresses::ConnectSettings& settings,
+                 std::map<std::string, addresses::AddressBook::ServerOverride, std::less<>> overrides);
 
-  // An entry of a whole list that cannot be read leaves its server as it was.
-  void apply_list_update(const list::ListUpdate& news);
-  // What the list last said of a server that it has; none: nothing, or not under the present zones and cells.
+  // A server whose entry of a snapshot cannot be read stays as it was.
+  void apply_list_update(const list::ListUpdate& update);
+  // Returns the last list row of a listed server; null for an unknown server, or where the present settings
+  // lack the row's zone or cell.
   const ListRow* last_row(std::string_view server) const;
-  // Before the settings name other zones: what is held is numbered anew, by their names.
+  // Renumbers the zones of the rows by name, before the settings change to other zones.
   void renumber_zones(const std::vector<std::string>& from, const std::vector<std::string>& to);
-  // One turn's sends to one server, in one call as far as a call goes.
+  // Sends one turn's sends to one server, in as few calls as the limit of parts in a call permits.
   void call(const std::string& server, std::vector<SendRequest> requests);
+  // Ends a send as revoked, or as unused where it has not been written.
   void cancel_send(const Rid& part, int send);
-  void cancel_if_unsent(const Rid& part, int send);  // ends it as never sent, if that is still true
+  // Ends a send as unused where nothing of it has been written; otherwise leaves it as it is.
+  void cancel_if_unsent(const Rid& part, int send);
+  // Asks a server for its load report.
   void probe(const std::string& server);
 
-  // What has ended since the last time.
+  // Results since the owner last emptied these.
   std::vector<SendResult> finished_sends;
   std::vector<ProbeResult> finished_probes;
 
-  // The end of the last time when no server said anything for some ticks, with sends out.
+  // The end of the latest period of several ticks in which sends were pending and no server responded.
   Duration silent_until() const { return silent_until_; }
 
   const Counters& counters() const { return counters_; }
-  const addresses::AddressBook& address_book() const { return book_; }
-  std::size_t connection_count() const { return links_.size(); }
+  const addresses::AddressBook& address_book() const { return address_book_; }
+  std::size_t connection_count() const { return connections_.size(); }
   std::size_t server_count() const { return rows_.size(); }
-  std::size_t socket_count() const;  // those of races and trials with them
+  // Counts the sockets of races and trials as well.
+  std::size_t socket_count() const;
 
  private:
-  struct Link;
-  struct Runner;
+  struct Connection;
+  struct Candidate;
   struct Trial;
   using SendKey = std::pair<Rid, int>;
 
-  Link* link_for(const std::string& server, const std::vector<SendRequest>& requests);
-  Link* dial(const std::string& server);
-  bool race_on(Link& link);
-  void dial(Link& link, const addresses::RaceStep& step);
-  void came_up(Link& link, int attempt);
-  void runner_heard(Link& link, int attempt);
-  void runner_ended(Link& link, int attempt, addresses::AttemptOutcome end);
-  void won(Link& link, int attempt);
-  void lay_down(Link& link, int attempt);
-  void plan_trials();
-  void start_trial(const addresses::Trial& what);
-  void end_trial(std::uint64_t number, addresses::AttemptOutcome end);
-  void relist();
-  void pump(Link& link);
-  void written(Link& link);
-  void arrived(Link& link);
-  void heard(Link& link, Frame& frame);
-  void broke(Link& link, bool connected);
-  void drop(Link& link, const char* why);
-  void settle(Link& link, const std::string& id, Fate fate, PartAnswer answer = {});
-  void end(const SendRequest& request, Fate fate, PartAnswer answer = {});
-  void give_up(const SendKey& key, Fate fate);
-  void end_probe(Link& link, Fate fate, LoadReport report = {});
-  void doubt(Link& link, Duration since);
-  void rest(Link& link);
-  bool up(std::string_view server) const;  // listed, and takes something new
-  bool wanted(const Link& link) const;
-  void expect_more(Link& link);
-  void bury();
+  Connection* connection_for(const std::string& server, const std::vector<SendRequest>& requests);
+  Connection* open_connection(const std::string& server);
+  bool advance_race(Connection& connection);
+  void start_attempt(Connection& connection, const addresses::RaceStep& step);
+  void on_candidate_connected(Connection& connection, int attempt);
+  void on_candidate_data(Connection& connection, int attempt);
+  void on_candidate_ended(Connection& connection, int attempt, addresses::AttemptOutcome outcome);
+  void adopt_candidate(Connection& connection, int attempt);
+  void discard_candidate(Connection& connection, int attempt);
+  void schedule_trials();
+  void start_trial(const addresses::Trial& spec);
+  void end_trial(std::uint64_t number, addresses::AttemptOutcome outcome);
+  void reconsider_connections();
+  void write_next_frame(Connection& connection);
+  void on_frame_written(Connection& connection);
+  void on_data(Connection& connection);
+  void on_frame(Connection& connection, Frame& frame);
+  void end_connection(Connection& connection, bool connected);
+  void close(Connection& connection, const char* reason);
+  void finish_send(Connection& connection, const std::string& id, Fate fate, PartAnswer answer = {});
+  void report_result(const SendRequest& request, Fate fate, PartAnswer answer = {});
+  void abandon_send(const SendKey& key, Fate fate);
+  void finish_probe(Connection& connection, Fate fate, LoadReport report = {});
+  void check_silence(Connection& connection, Duration since);
+  void manage_idle(Connection& connection);
+  bool accepts_sends(std::string_view server) const;  // listed as up
+  bool is_wanted(const Connection& connection) const;
+  void arm_frame_timeout(Connection& connection);
+  void destroy_closed();
 
   net::Loop& loop_;
   const config::Carriage& carriage_;
   std::function<bool()> make_room_;
-  addresses::AddressBook book_;
-  std::map<std::string, ListRow, std::less<>> rows_;      // the servers listed, up or draining
-  std::map<std::uint64_t, std::unique_ptr<Link>> links_;  // by their number, so in the order of their opening
+  addresses::AddressBook address_book_;
+  std::map<std::string, ListRow, std::less<>> rows_;                  // the servers listed, up or draining
+  std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;  // by number, so in order of opening
   std::map<std::uint64_t, std::unique_ptr<Trial>> trials_;
-  std::optional<net::Loop::Timer> trial_wake_;
-  std::vector<std::unique_ptr<Link>> graves_;  // ended, perhaps still being told of it
-  std::vector<std::unique_ptr<Trial>> trial_graves_;
-  std::vector<std::unique_ptr<net::Stream>> stream_graves_;
-  std::map<SendKey, std::pair<std::uint64_t, std::string>> out_;  // link and wire id of each send that is out
-  std::uint64_t next_link_ = 1, next_trial_ = 1;
-  Duration heard_{}, silent_until_ = Duration::min() / 2;
+  std::optional<net::Loop::Timer> trial_timer_;
+  std::vector<std::unique_ptr<Connection>>
+      closed_connections_;  // destroyed later, since a callback may be running
+  std::vector<std::unique_ptr<Trial>> ended_trials_;
+  std::vector<std::unique_ptr<net::Stream>> closed_streams_;
+  std::map<SendKey, std::pair<std::uint64_t, std::string>> pending_sends_;  // connection and wire id of each
+  std::uint64_t next_connection_ = 1, next_trial_ = 1;
+  Duration last_heard_{}, silent_until_ = Duration::min() / 2;
   Counters counters_;
 };
 
