--- a/src/carrier/carrier.cpp
+++ b/src/carrier/carrier.cpp
@@ -11,18 +11,18 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr std::size_t kMostIn = 1024 * 1024;
-constexpr std::size_t kMostOut = 256 * 1024;
+constexpr std::size_t kMaxInputBytes = 1024 * 1024;
+constexpr std::size_t kMaxOutputBytes = 256 * 1024;
 }  // namespace
 
-struct Carrier::Link {
+struct Carrier::Connection {
   std::uint64_t number = 0;
   std::string server;
   std::unique_ptr<ProtocolSession> session;
   std::unique_ptr<net::Stream> stream;
-  std::vector<net::Address> left;  // to be dialled, the next one last
+  std::vector<net::Address> left;  // still to be dialled, the next one last
   net::Address address;
-  std::optional<Key> job;
+  std::optional<SendKey> pending;
   bool up = false, greeted = false, used = false, leaving = false, cancelling = false, ended = false;
   std::optional<net::Loop::Timer> limit, idle;
 };
@@ -36,12 +36,12 @@
       closing_servers_(kClosingServerHold) {}
 
 Carrier::~Carrier() {
-  for (const auto& [number, link] : links_) {
-    if (link->limit) loop_.cancel(*link->limit);
-    if (link->idle) loop_.cancel(*link->idle);
+  for (const auto& [number, connection] : connections_) {
+    if (connection->limit) loop_.cancel(*connection->limit);
+    if (connection->idle) loop_.cancel(*connection->idle);
   }
-  for (const auto& [key, job] : jobs_) {
-    if (job.expiry) loop_.cancel(*job.expiry);
+  for (const auto& [key, pending] : sends_) {
+    if (pending.expiry) loop_.cancel(*pending.expiry);
   }
 }
 
@@ -50,73 +50,76 @@
 }
 
 void Carrier::destroy_closed() {
-  graves_.clear();
-  stream_graves_.clear();
+  closed_connections_.clear();
+  closed_streams_.clear();
 }
 
 // ---- membership ----
 
-void Carrier::apply_list_update(const list::ListUpdate& news) {
-  if (news.is_snapshot) {
-    for (auto& [name, known] : servers_) known.up = known.up && news.unreadable_servers.contains(name);
+void Carrier::apply_list_update(const list::ListUpdate& update) {
+  if (update.is_snapshot) {
+    for (auto& [name, server_state] : servers_)
+      server_state.up = server_state.up && update.unreadable_servers.contains(name);
   }
-  for (const list::ServerEntry& entry : news.entries) {
+  for (const list::ServerEntry& entry : update.entries) {
     const std::string& name = entry.row.server;
     if (!databases_.contains(name)) continue;
-    Known& known = servers_[name];
-    known.up = entry.row.standing == Standing::up;
-    known.listed = entry.addresses;
-    merge(name, known);
-    if (known.up) closing_servers_.on_listed_up(name);
+    Server& server_state = servers_[name];
+    server_state.up = entry.row.standing == Standing::up;
+    server_state.listed = entry.addresses;
+    merge_addresses(name, server_state);
+    if (server_state.up) closing_servers_.on_listed_up(name);
   }
-  relist();
+  reconsider_connections();
 }
 
 void Carrier::configure(
-    std::map<std::string, addresses::AddressBook::ServerOverride, std::less<>> configured) {
-  configured_ = std::move(configured);
-  for (auto& [name, known] : servers_) merge(name, known);
-  relist();
+    std::map<std::string, addresses::AddressBook::ServerOverride, std::less<>> overrides) {
+  overrides_ = std::move(overrides);
+  for (auto& [name, server_state] : servers_) merge_addresses(name, server_state);
+  reconsider_connections();
 }
 
-// The operator's come first: they are named for a reason.
-void Carrier::merge(const std::string& name, Known& known) {
+// Joins the operator's addresses and the list's. The operator's come first, as they were configured on
+// purpose.
+void Carrier::merge_addresses(const std::string& name, Server& server_state) {
   std::vector<net::Address> all;
-  const auto own = configured_.find(name);
-  if (own != configured_.end()) all = own->second.addresses;
-  if (own == configured_.end() || !own->second.replaces_listed) {
-    for (const net::Address& address : known.listed) {
+  const auto own = overrides_.find(name);
+  if (own != overrides_.end()) all = own->second.addresses;
+  if (own == overrides_.end() || !own->second.replaces_listed) {
+    for (const net::Address& address : server_state.listed) {
       if (std::find(all.begin(), all.end(), address) == all.end()) all.push_back(address);
     }
   }
-  if (all == known.addresses) return;
-  known.addresses = std::move(all);
-  known.first = 0;
+  if (all == server_state.addresses) return;
+  server_state.addresses = std::move(all);
+  server_state.first = 0;
 }
 
-// What the news means for the connections that are open and for what waits for one.
-void Carrier::relist() {
-  // Idle connections to who takes nothing new are closed; what is out on others comes to its end there.
-  std::vector<Link*> unwanted;
-  for (const auto& [number, link] : links_) {
-    const auto at = servers_.find(link->server);
+// Applies changed servers and addresses to the open connections and to the sends that wait for one.
+void Carrier::reconsider_connections() {
+  // Idle connections to a server that accepts no new sends are closed; on the others the pending part ends
+  // first.
+  std::vector<Connection*> unwanted;
+  for (const auto& [number, connection] : connections_) {
+    const auto at = servers_.find(connection->server);
     const bool its = at != servers_.end() && at->second.up &&
-                     std::find(at->second.addresses.begin(), at->second.addresses.end(), link->address) !=
-                         at->second.addresses.end();
-    if (link->up && !its) link->leaving = true;
-    if (link->leaving && !link->job) unwanted.push_back(link.get());
+                     std::find(at->second.addresses.begin(), at->second.addresses.end(),
+                               connection->address) != at->second.addresses.end();
+    if (connection->up && !its) connection->leaving = true;
+    if (connection->leaving && !connection->pending) unwanted.push_back(connection.get());
   }
-  for (Link* link : unwanted) close(*link);
+  for (Connection* connection : unwanted) close(*connection);
   std::vector<std::string> emptied;
-  for (auto& [name, known] : servers_) {
-    if (!known.up) {
-      // Nothing new goes to it, and what waits for a connection has not run.
-      for (const Key& key : std::exchange(known.waiting, {})) end(key, Fate::dial_failed);
+  for (auto& [name, server_state] : servers_) {
+    if (!server_state.up) {
+      // The server gets no new sends, and those that wait for a connection have not run.
+      for (const SendKey& key : std::exchange(server_state.waiting, {})) finish_send(key, Fate::dial_failed);
       emptied.push_back(name);
     }
   }
   for (const std::string& name : emptied) {
-    const bool linked = std::any_of(links_.begin(), links_.end(),
+    const bool linked = std::any_of(connections_.begin(), connections_.end(),
                                     [&](const auto& one) { return one.second->server == name; });
     if (!linked) {
       servers_.erase(name);
@@ -129,299 +132,309 @@
 
 void Carrier::call(const std::string& server, std::vector<servers::SendRequest> requests) {
   for (servers::SendRequest& request : requests) {
-    const Key key{request.part, request.send};
+    const SendKey key{request.part, request.send};
     const Duration limit = request.deadline;
-    Job& job = jobs_[key];
-    job.request = std::move(request);
+    PendingSend& pending = sends_[key];
+    pending.request = std::move(request);
     counters_.parts += 1;
     const auto at = servers_.find(server);
     if (at == servers_.end() || !at->second.up || at->second.waiting.size() >= kMaxQueuedParts) {
-      end(key, Fate::dial_failed);
+      finish_send(key, Fate::dial_failed);
       continue;
     }
     if (!closing_servers_.accepts_sends(server, loop_.now())) {
-      end(key, Fate::pushed_back);
+      finish_send(key, Fate::pushed_back);
       continue;
     }
-    job.expiry = loop_.call_at(limit, [this, key] {
-      const auto late = jobs_.find(key);
-      if (late == jobs_.end()) return;
+    pending.expiry = loop_.call_at(limit, [this, key] {
+      const auto late = sends_.find(key);
+      if (late == sends_.end()) return;
       late->second.expiry.reset();
-      give_up(key, fate_on_deadline(late->second.stage));
+      abandon_send(key, fate_on_deadline(late->second.stage));
     });
     at->second.waiting.push_back(key);
-    next(server);
+    assign_waiting(server);
   }
 }
 
-// Gives what waits at a server to connections, as long as there are any that may have it.
-void Carrier::next(const std::string& server) {
+// Assigns the sends that wait for a server to idle connections, and opens connections for the others as far
+// as the bound permits.
+void Carrier::assign_waiting(const std::string& server) {
   const auto at = servers_.find(server);
   if (at == servers_.end()) return;
-  std::deque<Key>& waiting = at->second.waiting;
+  std::deque<SendKey>& waiting = at->second.waiting;
   std::size_t coming = 0, open = 0;
-  for (const auto& [number, link] : links_) {
-    if (link->server != server) continue;
+  for (const auto& [number, connection] : connections_) {
+    if (connection->server != server) continue;
     open += 1;
-    coming += link->up && link->session->is_ready() ? 0 : link->job ? 0 : 1;
+    coming += connection->up && connection->session->is_ready() ? 0 : connection->pending ? 0 : 1;
   }
   for (std::size_t i = 0; i < waiting.size();) {
-    const Key key = waiting[i];
-    const bool once = jobs_.at(key).request.non_retriable;
-    Link* best = nullptr;
-    for (const auto& [number, link] : links_) {
-      if (link->server == server && link->up && !link->leaving && !link->job && !link->cancelling &&
-          link->session->is_ready() && can_reuse_connection(once, link->used))
-        best = link.get();  // the newest: the others come to their idle end
+    const SendKey key = waiting[i];
+    const bool once = sends_.at(key).request.non_retriable;
+    Connection* best = nullptr;
+    for (const auto& [number, connection] : connections_) {
+      if (connection->server == server && connection->up && !connection->leaving && !connection->pending &&
+          !connection->cancelling && connection->session->is_ready() &&
+          can_reuse_connection(once, connection->used))
+        best = connection.get();  // the newest, so that the others reach their idle time-out
     }
     if (best != nullptr) {
       waiting.erase(waiting.begin() + static_cast<std::ptrdiff_t>(i));
-      begin(*best, key);
+      start_send(*best, key);
       continue;
     }
     ++i;
     if (coming > 0) {
-      coming -= 1;  // one is on its way for it
+      coming -= 1;  // a connection is being opened for it
       continue;
     }
     if (!can_open_connection(open, kMaxConnectionsPerServer)) {
-      // A used one that idles makes room for a fresh one.
-      Link* spare = nullptr;
-      for (const auto& [number, link] : links_) {
-        if (link->server == server && link->up && !link->job) spare = link.get();
+      // A used idle connection is closed in favour of a new one.
+      Connection* spare = nullptr;
+      for (const auto& [number, connection] : connections_) {
+        if (connection->server == server && connection->up && !connection->pending) spare = connection.get();
       }
       if (spare == nullptr) return;
       close(*spare);
       open -= 1;
     }
-    if (!dial(server)) {
-      // Neither a descriptor nor an address: it has not run, and another server may have it.
+    if (!open_connection(server)) {
+      // There is no descriptor or no address: the part has not run, and may go to another replica.
       waiting.erase(waiting.begin() + static_cast<std::ptrdiff_t>(--i));
-      end(key, Fate::dial_failed);
+      finish_send(key, Fate::dial_failed);
       continue;
     }
     open += 1;
   }
 }
 
-bool Carrier::dial(const std::string& server) {
-  const Known& known = servers_.at(server);
-  auto made = std::make_unique<Link>();
-  Link& link = *made;
-  link.number = next_link_++;
-  link.server = server;
-  for (std::size_t i = known.addresses.size(); i-- > 0;)
-    link.left.push_back(known.addresses[(known.first + i) % known.addresses.size()]);
-  links_.emplace(link.number, std::move(made));
+bool Carrier::open_connection(const std::string& server) {
+  const Server& server_state = servers_.at(server);
+  auto owned = std::make_unique<Connection>();
+  Connection& connection = *owned;
+  connection.number = next_connection_++;
+  connection.server = server;
+  for (std::size_t i = server_state.addresses.size(); i-- > 0;)
+    connection.left.push_back(
+        server_state.addresses[(server_state.first + i) % server_state.addresses.size()]);
+  connections_.emplace(connection.number, std::move(owned));
   counters_.opened += 1;
-  if (next_address(link)) return true;
-  close(link);
+  if (connect_next_address(connection)) return true;
+  close(connection);
   return false;
 }
 
-// Begins to connect to the next address; false where none is left.
-bool Carrier::next_address(Link& link) {
-  if (link.limit) loop_.cancel(*link.limit);
-  link.limit.reset();
-  if (link.stream) {
-    link.stream->close();
-    stream_graves_.push_back(std::move(link.stream));
+// Begins to connect to the next address. Returns false where none is left.
+bool Carrier::connect_next_address(Connection& connection) {
+  if (connection.limit) loop_.cancel(*connection.limit);
+  connection.limit.reset();
+  if (connection.stream) {
+    connection.stream->close();
+    closed_streams_.push_back(std::move(connection.stream));
   }
-  while (!link.left.empty()) {
-    link.address = link.left.back();
-    link.left.pop_back();
-    net::Descriptor fd = net::start_connect(link.address);
-    if (!fd && (errno == EMFILE || errno == ENFILE) && make_room_()) fd = net::start_connect(link.address);
+  while (!connection.left.empty()) {
+    connection.address = connection.left.back();
+    connection.left.pop_back();
+    net::Descriptor fd = net::start_connect(connection.address);
+    if (!fd && (errno == EMFILE || errno == ENFILE) && make_room_())
+      fd = net::start_connect(connection.address);
     if (!fd) continue;
-    const std::uint64_t number = link.number;
-    link.stream = std::make_unique<net::Stream>(
-        loop_, std::move(fd), false, kMostIn, kMostOut,
-        net::Stream::Callbacks{[this, &link] { came_up(link); }, [this, &link] { arrived(link); },
-                               [this, &link] { drained(link); }, [this, &link](bool) { broke(link); }});
-    link.limit = loop_.call_at(loop_.now() + carriage_.connect_timeout, [this, number] {
-      const auto at = links_.find(number);
-      if (at == links_.end()) return;
+    const std::uint64_t number = connection.number;
+    connection.stream = std::make_unique<net::Stream>(
+        loop_, std::move(fd), false, kMaxInputBytes, kMaxOutputBytes,
+        net::Stream::Callbacks{[this, &connection] { on_connected(connection); },
+                               [this, &connection] { on_data(connection); },
+                               [this, &connection] { on_drained(connection); },
+                               [this, &connection](bool) { on_closed(connection); }});
+    connection.limit = loop_.call_at(loop_.now() + carriage_.connect_timeout, [this, number] {
+      const auto at = connections_.find(number);
+      if (at == connections_.end()) return;
       at->second->limit.reset();
-      broke(*at->second);
+      on_closed(*at->second);
     });
     return true;
   }
   return false;
 }
 
-// A connection that did not come up: the next address, or none is left. One that was up: its part's fate.
-void Carrier::broke(Link& link) {
-  if (link.ended || (!link.up && next_address(link))) return;
-  if (link.job) {
-    const Key key = *link.job;
-    const SessionEvent said = link.session->on_connection_closed();
-    link.job.reset();
-    if (said.kind == SessionEvent::Kind::answered) {
-      end(key, Fate::returned, said.value);
+// Handles the end of a connection. One that had not connected goes on to its next address, if any; otherwise
+// its pending part ends.
+void Carrier::on_closed(Connection& connection) {
+  if (connection.ended || (!connection.up && connect_next_address(connection))) return;
+  if (connection.pending) {
+    const SendKey key = *connection.pending;
+    const SessionEvent event = connection.session->on_connection_closed();
+    connection.pending.reset();
+    if (event.kind == SessionEvent::Kind::answered) {
+      finish_send(key, Fate::returned, event.value);
     } else {
-      end(key, fate_on_disconnect(jobs_.at(key).stage));
+      finish_send(key, fate_on_disconnect(sends_.at(key).stage));
     }
   }
-  const std::string server = link.server;
-  const bool dead = !link.greeted;
-  close(link);
+  const std::string server = connection.server;
+  const bool dead = !connection.greeted;
+  close(connection);
   const auto at = servers_.find(server);
   if (at == servers_.end()) return;
-  // Those under way to the same addresses will fare no better than this one.
-  const bool others = std::any_of(links_.begin(), links_.end(), [&](const auto& one) {
+  // Connections being opened to the same addresses will fail as well.
+  const bool others = std::any_of(connections_.begin(), connections_.end(), [&](const auto& one) {
     return one.second->server == server && one.second->greeted;
   });
-  if (!dead || others) return next(server);
-  // Nothing comes up there: whatever waits has not run, and another server may have it.
-  for (const Key& key : std::exchange(at->second.waiting, {})) end(key, Fate::dial_failed);
+  if (!dead || others) return assign_waiting(server);
+  // The server cannot be reached: the waiting parts have not run, and may go to another replica.
+  for (const SendKey& key : std::exchange(at->second.waiting, {})) finish_send(key, Fate::dial_failed);
 }
 
-void Carrier::came_up(Link& link) {
-  link.up = true;
-  if (Known& known = servers_[link.server]; !known.addresses.empty()) {
-    const auto at = std::find(known.addresses.begin(), known.addresses.end(), link.address);
-    if (at != known.addresses.end()) known.first = static_cast<std::size_t>(at - known.addresses.begin());
+void Carrier::on_connected(Connection& connection) {
+  connection.up = true;
+  if (Server& server_state = servers_[connection.server]; !server_state.addresses.empty()) {
+    const auto at =
+        std::find(server_state.addresses.begin(), server_state.addresses.end(), connection.address);
+    if (at != server_state.addresses.end())
+      server_state.first = static_cast<std::size_t>(at - server_state.addresses.begin());
   }
-  const std::string& database = databases_.find(link.server)->second;
-  link.session = make_session_(link.server, database, link.address.text());
-  const std::string hello = link.session->greeting();
+  const std::string& database = databases_.find(connection.server)->second;
+  connection.session = make_session_(connection.server, database, connection.address.text());
+  const std::string hello = connection.session->greeting();
   if (!hello.empty()) {
-    // The time to connect has the greeting in it.
-    link.stream->out().append(hello);
-    link.stream->flush();
+    // The connect time-out includes the greeting.
+    connection.stream->out().append(hello);
+    connection.stream->flush();
     return;
   }
-  if (link.limit) loop_.cancel(*link.limit);
-  link.limit.reset();
-  free(link);
+  if (connection.limit) loop_.cancel(*connection.limit);
+  connection.limit.reset();
+  on_idle(connection);
 }
 
-void Carrier::begin(Link& link, const Key& key) {
-  Job& job = jobs_.at(key);
-  const std::string request = link.session->format_request(*job.request.text, job.request.shard);
+void Carrier::start_send(Connection& connection, const SendKey& key) {
+  PendingSend& pending = sends_.at(key);
+  const std::string request =
+      connection.session->format_request(*pending.request.text, pending.request.shard);
   if (request.empty()) {
-    // Nothing has been written. Another server of the kind could do no more.
-    std::string words = link.session->unsupported_reply();
-    end(key, words.empty() ? Fate::app_error : Fate::returned, std::move(words));
+    // Nothing has been written. Another server of this protocol could not express the request either.
+    std::string words = connection.session->unsupported_reply();
+    finish_send(key, words.empty() ? Fate::app_error : Fate::returned, std::move(words));
     return;
   }
-  if (link.idle) loop_.cancel(*link.idle);
-  link.idle.reset();
-  link.job = key;
-  link.used = true;
-  job.link = link.number;
-  job.stage = SendStage::writing;
-  if (!link.stream->out().append(request)) return broke(link);
-  link.stream->flush();
+  if (connection.idle) loop_.cancel(*connection.idle);
+  connection.idle.reset();
+  connection.pending = key;
+  connection.used = true;
+  pending.connection = connection.number;
+  pending.stage = SendStage::writing;
+  if (!connection.stream->out().append(request)) return on_closed(connection);
+  connection.stream->flush();
 }
 
-void Carrier::drained(Link& link) {
-  if (!link.job || !link.stream->out().empty()) return;
-  const auto at = jobs_.find(*link.job);
-  if (at != jobs_.end() && at->second.stage == SendStage::writing) at->second.stage = SendStage::written;
+void Carrier::on_drained(Connection& connection) {
+  if (!connection.pending || !connection.stream->out().empty()) return;
+  const auto at = sends_.find(*connection.pending);
+  if (at != sends_.end() && at->second.stage == SendStage::writing) at->second.stage = SendStage::written;
 }
 
-void Carrier::arrived(Link& link) {
-  net::RingBuffer& in = link.stream->in();
-  while (!link.ended && !link.stream->is_closed() && !in.empty()) {
-    SessionEvent said;
-    const std::size_t used = link.session->feed(in.front(), said);
+void Carrier::on_data(Connection& connection) {
+  net::RingBuffer& in = connection.stream->in();
+  while (!connection.ended && !connection.stream->is_closed() && !in.empty()) {
+    SessionEvent event;
+    const std::size_t used = connection.session->feed(in.front(), event);
     in.consume(used);
-    switch (said.kind) {
+    switch (event.kind) {
       case SessionEvent::Kind::none: {
-        const std::string more = link.session->next_output();
+        const std::string more = connection.session->next_output();
         if (!more.empty()) {
-          link.stream->out().append(more);
-          link.stream->flush();
+          connection.stream->out().append(more);
+          connection.stream->flush();
         }
         if (used == 0) return;
         break;
       }
       case SessionEvent::Kind::ready:
-        if (link.limit) loop_.cancel(*link.limit);
-        link.limit.reset();
-        link.cancelling = false;
-        free(link);
+        if (connection.limit) loop_.cancel(*connection.limit);
+        connection.limit.reset();
+        connection.cancelling = false;
+        on_idle(connection);
         break;
       case SessionEvent::Kind::answered:
       case SessionEvent::Kind::refused:
       case SessionEvent::Kind::failed: {
-        if (!link.job) {
-          // An answer to what was given up.
-          link.cancelling = false;
-          free(link);
+        if (!connection.pending) {
+          // The answer to a cancelled part.
+          connection.cancelling = false;
+          on_idle(connection);
           break;
         }
-        const Key key = *link.job;
-        link.job.reset();
-        end(key,
-            said.kind == SessionEvent::Kind::answered  ? Fate::returned
-            : said.kind == SessionEvent::Kind::refused ? Fate::pushed_back
-                                                       : Fate::app_error,
-            std::move(said.value));
-        if (!link.ended) free(link);
+        const SendKey key = *connection.pending;
+        connection.pending.reset();
+        finish_send(key,
+                    event.kind == SessionEvent::Kind::answered  ? Fate::returned
+                    : event.kind == SessionEvent::Kind::refused ? Fate::pushed_back
+                                                                : Fate::app_error,
+                    std::move(event.value));
+        if (!connection.ended) on_idle(connection);
         break;
       }
       case SessionEvent::Kind::server_closing:
         counters_.closed_by_server += 1;
-        closing_servers_.on_server_closing(link.server, loop_.now());
-        link.leaving = true;
+        closing_servers_.on_server_closing(connection.server, loop_.now());
+        connection.leaving = true;
         log::event(log::Level::info, "carrier.server_leaves",
-                   {{"server", link.server}, {"why", said.reason}});
-        return broke(link);
+                   {{"server", connection.server}, {"why", event.reason}});
+        return on_closed(connection);
       case SessionEvent::Kind::protocol_error: {
         counters_.out_of_step += 1;
         static log::Throttled throttled(log::Level::warning, "carrier.out_of_step");
-        throttled.event({{"server", link.server}, {"why", said.reason}});
-        return broke(link);
+        throttled.event({{"server", connection.server}, {"why", event.reason}});
+        return on_closed(connection);
       }
     }
   }
 }
 
-// It carries nothing: the next part, or a while in reserve.
-void Carrier::free(Link& link) {
-  link.greeted = true;
-  if (link.leaving) {
-    const std::string server = link.server;
-    close(link);
-    return next(server);
+// Handles a connection without a part: it gets the next one, or is kept for a while.
+void Carrier::on_idle(Connection& connection) {
+  connection.greeted = true;
+  if (connection.leaving) {
+    const std::string server = connection.server;
+    close(connection);
+    return assign_waiting(server);
   }
-  const std::uint64_t number = link.number;
-  if (link.idle) loop_.cancel(*link.idle);
-  link.idle = loop_.call_at(loop_.now() + carriage_.idle / 2, [this, number] {
-    const auto at = links_.find(number);
-    if (at == links_.end() || at->second->job) return;
+  const std::uint64_t number = connection.number;
+  if (connection.idle) loop_.cancel(*connection.idle);
+  connection.idle = loop_.call_at(loop_.now() + carriage_.idle / 2, [this, number] {
+    const auto at = connections_.find(number);
+    if (at == connections_.end() || at->second->pending) return;
     at->second->idle.reset();
     close(*at->second);
   });
-  next(link.server);
+  assign_waiting(connection.server);
 }
 
-void Carrier::close(Link& link) {
-  if (std::exchange(link.ended, true)) return;
-  if (link.limit) loop_.cancel(*link.limit);
-  if (link.idle) loop_.cancel(*link.idle);
-  link.limit.reset();
-  link.idle.reset();
-  if (link.stream) {
-    if (link.up && link.session && !link.stream->is_closed()) {
-      const std::string goodbye = link.session->closing_bytes();
-      if (!goodbye.empty() && link.stream->out().append(goodbye)) link.stream->flush();
+void Carrier::close(Connection& connection) {
+  if (std::exchange(connection.ended, true)) return;
+  if (connection.limit) loop_.cancel(*connection.limit);
+  if (connection.idle) loop_.cancel(*connection.idle);
+  connection.limit.reset();
+  connection.idle.reset();
+  if (connection.stream) {
+    if (connection.up && connection.session && !connection.stream->is_closed()) {
+      const std::string goodbye = connection.session->closing_bytes();
+      if (!goodbye.empty() && connection.stream->out().append(goodbye)) connection.stream->flush();
     }
-    link.stream->close();
+    connection.stream->close();
   }
-  const auto at = links_.find(link.number);
-  graves_.push_back(std::move(at->second));
-  links_.erase(at);
+  const auto at = connections_.find(connection.number);
+  closed_connections_.push_back(std::move(at->second));
+  connections_.erase(at);
 }
 
-// ---- ends ----
+// ---- ends of sends ----
 
-// The one place where a part gets its fate.
-void Carrier::end(const Key& key, Fate fate, std::string value) {
-  const auto at = jobs_.find(key);
-  if (!must_hold(at != jobs_.end(), "a part on a carrier has one fate")) return;
+// Ends a send. No other function reports a fate.
+void Carrier::finish_send(const SendKey& key, Fate fate, std::string value) {
+  const auto at = sends_.find(key);
+  if (!must_hold(at != sends_.end(), "a part on a carrier has one fate")) return;
   if (at->second.expiry) loop_.cancel(*at->second.expiry);
   servers::SendResult out;
   out.part = key.first;
@@ -430,7 +443,7 @@
   out.elapsed = loop_.now() - at->second.request.issued_at;
   out.score = 1;
   out.value = std::move(value);
-  jobs_.erase(at);
+  sends_.erase(at);
   std::uint64_t* const counts[] = {&counters_.answered, &counters_.failed,        &counters_.refused,
                                    &counters_.expired,  &counters_.not_connected, &counters_.dropped,
                                    &counters_.revoked,  &counters_.unused};
@@ -438,47 +451,47 @@
   finished_sends.push_back(std::move(out));
 }
 
-void Carrier::give_up(const Key& key, Fate fate) {
-  Job& job = jobs_.at(key);
-  const auto at = links_.find(job.link);
-  if (job.link == 0 || at == links_.end()) {
-    for (auto& [name, known] : servers_) std::erase(known.waiting, key);
-    return end(key, fate);
+void Carrier::abandon_send(const SendKey& key, Fate fate) {
+  PendingSend& pending = sends_.at(key);
+  const auto at = connections_.find(pending.connection);
+  if (pending.connection == 0 || at == connections_.end()) {
+    for (auto& [name, server_state] : servers_) std::erase(server_state.waiting, key);
+    return finish_send(key, fate);
   }
-  Link& link = *at->second;
-  const SendStage stage = job.stage;
-  link.job.reset();
-  end(key, fate);
-  // A request that is partly written cannot be taken back on a connection that lives on.
-  const std::string cancel = stage == SendStage::written ? link.session->format_cancel() : std::string();
-  if (cancel.empty() || !link.stream->out().append(cancel)) {
-    const std::string server = link.server;
-    close(link);
-    return next(server);
+  Connection& connection = *at->second;
+  const SendStage stage = pending.stage;
+  connection.pending.reset();
+  finish_send(key, fate);
+  // A partly written request cannot be cancelled without closing the connection.
+  const std::string cancel =
+      stage == SendStage::written ? connection.session->format_cancel() : std::string();
+  if (cancel.empty() || !connection.stream->out().append(cancel)) {
+    const std::string server = connection.server;
+    close(connection);
+    return assign_waiting(server);
   }
   counters_.cancelled += 1;
-  link.cancelling = true;
-  link.stream->flush();
-  // A cancel that is not answered soon is no better than silence.
-  const std::uint64_t number = link.number;
-  link.limit = loop_.call_at(loop_.now() + carriage_.connect_timeout, [this, number] {
-    const auto still = links_.find(number);
-    if (still == links_.end()) return;
+  connection.cancelling = true;
+  connection.stream->flush();
+  // A connection whose cancel is not answered within the connect time-out is closed.
+  const std::uint64_t number = connection.number;
+  connection.limit = loop_.call_at(loop_.now() + carriage_.connect_timeout, [this, number] {
+    const auto still = connections_.find(number);
+    if (still == connections_.end()) return;
     still->second->limit.reset();
     const std::string server = still->second->server;
     close(*still->second);
-    next(server);
+    assign_waiting(server);
   });
 }
 
 bool Carrier::cancel_send(const Rid& part, int send) {
-  const auto at = jobs_.find({part, send});
-  if (at == jobs_.end()) return false;
-  give_up(at->first, fate_on_cancel(at->second.stage));
+  const auto at = sends_.find({part, send});
+  if (at == sends_.end()) return false;
+  abandon_send(at->first, fate_on_cancel(at->second.stage));
   return true;
 }
 
-// These protocols have no word for load: whether the server is there is what can be told.
 void Carrier::probe(const std::string& server) {
   servers::ProbeResult out;
   out.server = server;
--- a/src/carrier/carrier.h
+++ b/src/carrier/carrier.h
@@ -1,6 +1,6 @@
-// Connections to shard servers that speak another protocol than frames: a pool of them a server, one part at
-// a time on each. Every part comes back with exactly one fate, as from servers::Servers, and under the same
-// rules; the protocol itself is a Talk's.
+// The connections to shard servers that speak another protocol than the shard protocol's frames: a pool for
+// each server, with one part at a time on each connection. Every send ends with exactly one fate, under the
+// same rules as in servers::ShardServerPool. The protocol itself is a ProtocolSession's.
 #pragma once
 
 #include <deque>
@@ -30,68 +30,72 @@
           std::function<bool()> make_room);
   ~Carrier();
 
-  // The servers that this carrier is for, with the databases' names there.
+  // Sets the servers that this carrier is for, each with the name of its database.
   void set_databases(std::map<std::string, std::string, std::less<>> databases);
   bool serves(std::string_view server) const { return databases_.contains(server); }
 
-  // The operator's own addresses of servers: beside those of the list, or in their place.
-  void configure(std::map<std::string, addresses::AddressBook::ServerOverride, std::less<>> configured);
+  // Replaces the operator's own addresses of servers, which come beside those of the list or instead of them.
+  void configure(std::map<std::string, addresses::AddressBook::ServerOverride, std::less<>> overrides);
 
-  void apply_list_update(const list::ListUpdate& news);
+  void apply_list_update(const list::ListUpdate& update);
   void call(const std::string& server, std::vector<servers::SendRequest> requests);
-  bool cancel_send(const Rid& part, int send);  // false: it is not here
+  // Returns false where the send is not pending here.
+  bool cancel_send(const Rid& part, int send);
+  // These protocols have no load report: the result only tells whether the server accepts sends.
   void probe(const std::string& server);
+  // Destroys closed connections. Not to be called within a callback of one.
   void destroy_closed();
 
+  // Results since the owner last emptied these.
   std::vector<servers::SendResult> finished_sends;
   std::vector<servers::ProbeResult> finished_probes;
 
   const Counters& counters() const { return counters_; }
-  std::size_t connection_count() const { return links_.size(); }
+  std::size_t connection_count() const { return connections_.size(); }
 
  private:
-  struct Link;
-  struct Job {
+  struct Connection;
+  struct PendingSend {
     servers::SendRequest request;
     SendStage stage = SendStage::waiting;
-    std::uint64_t link = 0;
+    std::uint64_t connection = 0;
     std::optional<net::Loop::Timer> expiry;
   };
-  using Key = std::pair<Rid, int>;
-  struct Known {
+  using SendKey = std::pair<Rid, int>;
+  struct Server {
     bool up = false;
-    std::vector<net::Address> listed, addresses;  // as the list has them; as they are dialled
-    std::size_t first = 0;                        // the address that is dialled first: the last that came up
-    std::deque<Key> waiting;
+    std::vector<net::Address> listed, addresses;  // of the list; in the order of dialling
+    std::size_t first = 0;  // the index of the address to dial first: the last that connected
+    std::deque<SendKey> waiting;
   };
 
-  void merge(const std::string& name, Known& known);
-  void relist();
-  bool dial(const std::string& server);
-  void came_up(Link& link);
-  void begin(Link& link, const Key& key);
-  void arrived(Link& link);
-  void drained(Link& link);
-  bool next_address(Link& link);
-  void broke(Link& link);
-  void close(Link& link);
-  void free(Link& link);
-  void next(const std::string& server);
-  void end(const Key& key, Fate fate, std::string value = {});
-  void give_up(const Key& key, Fate fate);
+  void merge_addresses(const std::string& name, Server& server_state);
+  void reconsider_connections();
+  bool open_connection(const std::string& server);
+  void on_connected(Connection& connection);
+  void start_send(Connection& connection, const SendKey& key);
+  void on_data(Connection& connection);
+  void on_drained(Connection& connection);
+  bool connect_next_address(Connection& connection);
+  void on_closed(Connection& connection);
+  void close(Connection& connection);
+  void on_idle(Connection& connection);
+  void assign_waiting(const std::string& server);
+  void finish_send(const SendKey& key, Fate fate, std::string value = {});
+  void abandon_send(const SendKey& key, Fate fate);
 
   net::Loop& loop_;
   const config::Carriage& carriage_;
   SessionFactory make_session_;
   std::function<bool()> make_room_;
   std::map<std::string, std::string, std::less<>> databases_;
-  std::map<std::string, addresses::AddressBook::ServerOverride, std::less<>> configured_;
-  std::map<std::string, Known, std::less<>> servers_;
-  std::map<Key, Job> jobs_;
-  std::map<std::uint64_t, std::unique_ptr<Link>> links_;
-  std::vector<std::unique_ptr<Link>> graves_;
-  std::vector<std::unique_ptr<net::Stream>> stream_graves_;
-  std::uint64_t next_link_ = 1;
+  std::map<std::string, addresses::AddressBook::ServerOverride, std::less<>> overrides_;
+  std::map<std::string, Server, std::less<>> servers_;
+  std::map<SendKey, PendingSend> sends_;
+  std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;
+  std::vector<std::unique_ptr<Connection>> closed_connections_;
+  std::vector<std::unique_ptr<net::Stream>> closed_streams_;
+  std::uint64_t next_connection_ = 1;
   ClosingServers closing_servers_;
   Counters counters_;
 };
--- a/src/carrier/fates.h
+++ b/src/carrier/fates.h
@@ -1,5 +1,5 @@
-// What has become of a part whose connection ended, and what a server that leaves may still be given: the
-// rules of the shard protocol's page, for protocols that carry one part at a time. No I/O.
+// The shard protocol's rules for protocols that carry one part at a time: which fate a send has when its
+// connection ends, and what a server that is closing may still be sent. No I/O.
 #pragma once
 
 #include <algorithm>
@@ -12,24 +12,26 @@
 
 namespace marbledyke::carrier {
 
-inline constexpr std::size_t kMaxConnectionsPerServer = 16;  // to one server
-inline constexpr std::size_t kMaxQueuedParts = 256;          // parts at one server
-inline constexpr Duration kClosingServerHold{5'000'000};     // a server that leaves is left alone for so long
+using namespace std::chrono_literals;
+
+inline constexpr std::size_t kMaxConnectionsPerServer = 16;
+inline constexpr std::size_t kMaxQueuedParts = 256;  // waiting for connections to one server
+inline constexpr Duration kClosingServerHold = 5s;   // without new sends to a server that is closing
 
 enum class SendStage {
   waiting,     // for a connection
-  connecting,  // one is being opened for it
-  writing,     // some of its bytes may be gone
-  written      // all of them are
+  connecting,  // a connection is being opened for it
+  writing,     // some bytes of the request may be written
+  written      // all of them are written
 };
 
-// A connection that never came up, or broke before the last byte was written, brought nothing whole: it has
-// not run. After that it may have.
+// A part whose connection never opened, or ended before the request's last byte was written, has not run.
+// Once all of the request is written the part may have run.
 constexpr Fate fate_on_disconnect(SendStage stage) {
   return stage == SendStage::written ? Fate::dropped : Fate::dial_failed;
 }
 
-// Its time is up. What was never written has cost nobody anything.
+// A send that was never written has cost the server nothing, so it counts as unused.
 constexpr Fate fate_on_deadline(SendStage stage) {
   return stage == SendStage::written ? Fate::expired : Fate::unused;
 }
@@ -37,8 +39,8 @@
   return stage == SendStage::written ? Fate::revoked : Fate::unused;
 }
 
-// A server of which an association was closed in order, because it stops, takes nothing new until this is
-// over, or the list says anew that it is up: the protocol's own way to tell of a drain.
+// The servers that have closed a connection in order because they stop, which is how these protocols announce
+// a drain. They get no new sends until the hold is over or the list reports them as up again.
 class ClosingServers {
  public:
   explicit ClosingServers(Duration hold) : hold_(hold) {}
@@ -56,14 +58,15 @@
 
  private:
   Duration hold_;
-  std::map<std::string, Duration> until_;  // no more than servers are listed
+  std::map<std::string, Duration> until_;  // by server; no more than are listed
 };
 
-// Whether a part may go out on a connection that has been used before. Such a one may be closed by its server
-// at the very moment; what may not run twice gets one that is fresh, where closing can only be told apart.
+// Whether a part may be sent on a connection that has been used before. The server may close such a
+// connection at that very moment, and then it is unknown whether the part ran. A non-retriable part therefore
+// gets a new connection.
 constexpr bool can_reuse_connection(bool non_retriable, bool used) { return !(non_retriable && used); }
 
-// How many connections a server is given: one for each part under way, up to a bound.
+// Whether another connection to a server may be opened: one for each pending part, up to a bound.
 constexpr bool can_open_connection(std::size_t open, std::size_t most) { return open < most; }
 
 }  // namespace marbledyke::carrier
--- a/src/servers/shard_server_pool.h
+++ b/src/servers/shard_server_pool.h
@@ -142,7 +142,7 @@
   const config::Carriage& carriage_;
   std::function<bool()> make_room_;
   addresses::AddressBook address_book_;
-  std::map<std::string, ListRow, std::less<>> rows_;                  // the servers listed, up or draining
+  std::map<std::string, ListRow, std::less<>> rows_;                  // the listed servers, up or draining
   std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;  // by number, so in order of opening
   std::map<std::uint64_t, std::unique_ptr<Trial>> trials_;
   std::optional<net::Loop::Timer> trial_timer_;
