--- a/tests/address_rig.cpp
+++ b/tests/address_rig.cpp
@@ -1,6 +1,6 @@
-// The connections to servers of several addresses, on loopback sockets against stand-ins that misbehave on
-// order. `fates`, `failover` and `schedules` print the same every time and are kept as traces; `measure`
-// gives figures for docs/several-addresses.md and takes a minute or two.
+// Tests the connections to servers with several addresses over loopback sockets, against stand-in servers
+// that misbehave as told. The output of `fates`, `failover` and `schedules` is deterministic and kept as
+// traces; `measure` prints the figures for docs/several-addresses.md and takes one or two minutes.
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -24,10 +24,10 @@
 
 namespace {
 
-// The rule gives 500 ms; this program writes nothing new once it knows, so the rig allows only what was on
-// its way.
+// The rule permits sends for 500 ms after a change of the list. The pool writes nothing new once it knows of
+// the change, so the test permits only what was already on its way.
 constexpr Duration kGrace = 100ms;
-// And so many turns of the loop, so that a machine that stands still is not taken for a breach.
+// The grace also lasts for this many turns of the loop, so that a stalled machine does not count as a breach.
 constexpr long kGraceTurns = 20;
 
 config::Carriage carriage() {
@@ -53,55 +53,55 @@
         servers(loop, carriage_, seed, [] { return false; }),
         leaf(loop, options, seed) {
     loop.read_clock();
-    addresses::ConnectSettings rules;
-    rules.attempt = carriage_.connect_timeout;
-    rules.hold = 200ms;
-    rules.hold_most = 2s;
-    servers.configure(rules, {});
+    addresses::ConnectSettings settings;
+    settings.attempt = carriage_.connect_timeout;
+    settings.hold = 200ms;
+    settings.hold_most = 2s;
+    servers.configure(settings, {});
   }
 
   void list(const std::string& server, std::vector<net::Address> addresses,
             Standing standing = Standing::up) {
-    list::ListUpdate news;
+    list::ListUpdate update;
     list::ServerEntry entry;
     entry.row.server = server;
     entry.row.standing = standing;
     entry.addresses = std::move(addresses);
-    news.entries.push_back(std::move(entry));
-    servers.apply_list_update(news);
+    update.entries.push_back(std::move(entry));
+    servers.apply_list_update(update);
   }
 
-  servers::SendRequest errand_of(bool once, std::size_t size, Duration patience) {
-    servers::SendRequest errand;
+  servers::SendRequest request_of(bool once, std::size_t size, Duration patience) {
+    servers::SendRequest request;
     char digits[17];
     std::snprintf(digits, sizeof digits, "%016llx", static_cast<unsigned long long>(++number));
-    std::copy_n(digits, 16, errand.part.text.begin());
-    errand.id = digits;
-    errand.non_retriable = once;
-    errand.text = std::make_shared<const std::string>(size, 'x');
-    errand.issued_at = loop.now();
-    errand.deadline = loop.now() + patience;
-    return errand;
+    std::copy_n(digits, 16, request.part.text.begin());
+    request.id = digits;
+    request.non_retriable = once;
+    request.text = std::make_shared<const std::string>(size, 'x');
+    request.issued_at = loop.now();
+    request.deadline = loop.now() + patience;
+    return request;
   }
 
   Rid send(const std::string& server, bool once, std::size_t size = 8, Duration patience = 3s) {
-    servers::SendRequest errand = errand_of(once, size, patience);
-    const Rid part = errand.part;
-    servers.call(server, {std::move(errand)});
+    servers::SendRequest request = request_of(once, size, patience);
+    const Rid part = request.part;
+    servers.call(server, {std::move(request)});
     return part;
   }
 
-  // Sixteen parts of 64 KiB in one call: a frame that fits no buffer on its way.
+  // Sends sixteen parts of 64 KiB in one call, a frame that exceeds every buffer on its way.
   void send_large(const std::string& server, std::vector<Rid>& parts, Duration patience) {
     std::vector<servers::SendRequest> call;
     for (int i = 0; i < 16; ++i) {
-      call.push_back(errand_of(true, 64 * 1024, patience));
+      call.push_back(request_of(true, 64 * 1024, patience));
       parts.push_back(call.back().part);
     }
     servers.call(server, std::move(call));
   }
 
-  // Until that part has its fate.
+  // Runs the loop until the part's send has ended.
   servers::SendResult wait(const Rid& part) {
     for (;;) {
       for (servers::SendResult& ended : servers.finished_sends) {
@@ -132,7 +132,7 @@
 
 std::string id_of(const Rid& part) { return std::string(part.view()); }
 
-// Three doors of one leaf, in the default order of preference.
+// Returns three addresses (doors) of one stand-in server, in the default order of preference.
 std::vector<net::Address> three_doors(Rig& rig, std::uint32_t number = 1) {
   std::vector<net::Address> out;
   for (const Family family : {Family::local, Family::ip6, Family::ip4}) {
@@ -143,7 +143,7 @@
   return out;
 }
 
-// What becomes of a part, case by case, and whether it ran; each on a server of its own.
+// The fate of a part in each case, and whether it ran; each case has a server of its own.
 void fates() {
   const auto one = [](const char* what, const std::function<void(Rig&)>& before, bool sole,
                       std::size_t size = 8, const std::function<void(Rig&)>& during = nullptr) {
@@ -165,7 +165,7 @@
       rig.leaf.set(2, third);
     };
   };
-  // Found sound first, then the doors change; the connection that was sound is closed or not.
+  // The addresses work first and then change; the open connection is closed or not.
   const auto after_use = [&](Door how, bool cut) {
     return [=](Rig& rig) {
       rig.wait(rig.send("A", true));
@@ -190,7 +190,7 @@
   one("sound, then accepted and reset on a new connection", after_use(Door::resets_on_accept, true), false);
   one("sound, then the kept connection reads nothing, and a frame that fits its buffer",
       after_use(Door::stalls, false), false);
-  // 16 MB would fit no buffer, 64 KiB of a value is the most; so the call has many parts.
+  // A part's body is at most 64 KiB, so a call that exceeds every buffer needs many parts.
   const auto partly = [](Rig& rig) {
     rig.pass(30ms);
     rig.leaf.cut_all();
@@ -214,9 +214,9 @@
         never, ran);
   }
   {
-    // The server takes no more of a frame, ever: its parts have their fate in time, the next part does not
-    // wait behind them, and once the list has the server no more, nothing of it is left (seed 4 of the
-    // schedules, on a slow machine).
+    // The server stops reading in the middle of a frame for good. The sends in that frame end by their
+    // deadlines, the next part does not wait behind them, and nothing is left once the list has removed the
+    // server (seed 4 of the schedules, on a slow machine).
     Rig rig;
     const auto at = three_doors(rig);
     rig.list("A", {at[0]});
@@ -245,7 +245,7 @@
     rig.pass(215ms);
     rig.leaf.set(1, Door::open);
   });
-  // The list takes the address away, or the whole server, while its connect hangs.
+  // The list removes the address, or the whole server, while its connect hangs.
   one("its address is taken from the list while it hangs", doors(Door::hangs, Door::hangs), false, 8,
       [](Rig& rig) {
         rig.pass(20ms);
@@ -264,7 +264,8 @@
       });
 }
 
-// The preferred address is dead in each way there is: the first part pays for finding out, the next does not.
+// The preferred address fails in each possible way: the first part pays for the detection, the next one does
+// not.
 void failover() {
   for (const Door how : {Door::refuses, Door::hangs, Door::resets_on_accept, Door::silent}) {
     for (const bool both : {false, true}) {
@@ -305,8 +306,8 @@
   servers::Counters tally;
 };
 
-// Four servers of three addresses, doors that change at random, a list that drains, moves and takes away
-// addresses, parts that are sent on by the rule: again only where no earlier send can have run.
+// Four servers of three addresses whose doors change at random, a list that drains servers and moves and
+// removes addresses, and parts that are sent again only where no earlier send can have run.
 Verdict schedule(std::uint32_t seed, long parts, Duration between) {
   standins::LeafOptions options;
   options.service = 2ms;
@@ -318,7 +319,7 @@
   std::vector<std::unique_ptr<Leaf>> leaves;
   struct Listed {
     std::vector<net::Address> addresses;
-    std::map<net::Address, Duration> taken;  // when the list took it from the server
+    std::map<net::Address, Duration> taken;  // when the list removed it from the server
     bool up = true;
     Duration drained{};
     long drained_turn = 0, moved_turn = 0;
@@ -353,7 +354,7 @@
       const Listed& its = listed.at(at->second.server);
       if (!its.up && rig.loop.now() > its.drained + kGrace && rig.turns > its.drained_turn + kGraceTurns)
         out.after_drain += 1;
-      // The address is, or was a moment ago, one of that server's.
+      // The address is one of that server's, or was within the grace.
       const net::Address& address = leaf->address(door);
       const auto gone = its.taken.find(address);
       if (std::find(its.addresses.begin(), its.addresses.end(), address) == its.addresses.end() &&
@@ -370,24 +371,24 @@
   std::vector<std::pair<Duration, std::string>> again;
   const auto send = [&](const std::string& id) {
     Part& part = book.at(id);
-    // Any server that is up, as the module would choose.
+    // Any server that is up, as the decision engine would choose.
     std::vector<std::string> up;
     for (const std::string& name : names) {
       if (listed.at(name).up) up.push_back(name);
     }
     if (up.empty()) return void(part.done = true);
     part.server = up[draw(static_cast<std::uint32_t>(up.size()))];
-    servers::SendRequest errand;
-    std::copy_n(id.begin(), 16, errand.part.text.begin());
-    errand.send = part.sends++;
-    errand.id = id;
-    errand.non_retriable = part.once;
-    errand.text = std::make_shared<const std::string>(draw(20) == 0 ? 40'000 : 100, 'x');
-    errand.issued_at = rig.loop.now();
-    errand.deadline = rig.loop.now() + (draw(4) == 0 ? 1500ms : 400ms);
+    servers::SendRequest request;
+    std::copy_n(id.begin(), 16, request.part.text.begin());
+    request.send = part.sends++;
+    request.id = id;
+    request.non_retriable = part.once;
+    request.text = std::make_shared<const std::string>(draw(20) == 0 ? 40'000 : 100, 'x');
+    request.issued_at = rig.loop.now();
+    request.deadline = rig.loop.now() + (draw(4) == 0 ? 1500ms : 400ms);
     part.open += 1;
     out.sends += 1;
-    rig.servers.call(part.server, {std::move(errand)});
+    rig.servers.call(part.server, {std::move(request)});
   };
   const auto heard = [&] {
     for (const servers::SendResult& ended : std::exchange(rig.servers.finished_sends, {})) {
@@ -421,13 +422,13 @@
     } else if (what < 78) {
       leaves[which]->cut_all();
     } else if (what < 88) {
-      // Drains, or is back.
+      // The server drains, or is up again.
       one.up = !one.up;
       if (!one.up) one.drained = rig.loop.now();
       one.drained_turn = rig.turns;
       rig.list(name, one.addresses, one.up ? Standing::up : Standing::draining);
     } else {
-      // Other addresses of its own, in another order; at times one that is another server's.
+      // Other addresses of the server in another order; at times one of another server's.
       std::vector<net::Address> now;
       for (int door = 0; door < 3; ++door) {
         if (draw(4) > 0) now.push_back(leaves[which]->address(door));
@@ -451,7 +452,7 @@
   std::optional<Duration> ends;
   for (;;) {
     const Duration now = rig.loop.now();
-    next = std::max(next, now - 10 * between);  // a machine that stood still is not flooded afterwards
+    next = std::max(next, now - 10 * between);  // no burst after the machine has stalled
     for (; made < parts && next <= now; next += between, ++made) {
       char digits[17];
       std::snprintf(digits, sizeof digits, "%08x%08lx", seed, made);
@@ -494,7 +495,7 @@
   out.parts = made;
   out.book = rig.servers.address_book().counters();
   out.tally = rig.servers.counters();
-  // All servers go: nothing may be left.
+  // All servers are removed: nothing may be left.
   list::ListUpdate none;
   none.is_snapshot = true;
   rig.servers.apply_list_update(none);
@@ -510,8 +511,8 @@
       v.doubled, v.ran_though_never, v.unanswered, v.twice_told, v.after_drain, v.astray, v.left_over);
 }
 
-// Three seeds, and more of them, up to a bound, until every kind of fault has bitten: how many do in one run
-// follows from how fast the machine is, whether any do must not.
+// Runs three seeds, and further ones up to a bound until every kind of fault has had an effect. How many
+// faults have one in a single run depends on the machine's speed; whether each kind has one at all must not.
 void schedules() {
   struct Need {
     const char* what;
@@ -563,7 +564,7 @@
   for (const Door how : {Door::open, Door::refuses, Door::hangs, Door::resets_on_accept, Door::silent}) {
     Rig rig;
     const auto doors = three_doors(rig);
-    // A local socket with a full backlog fails at once; IPv6 in front shows a connect that hangs.
+    // A Unix socket with a full backlog fails at once; with IPv6 preferred, the connect hangs.
     const std::vector<net::Address> order =
         how == Door::hangs ? std::vector<net::Address>{doors[1], doors[2]} : doors;
     rig.leaf.set(how == Door::hangs ? 1 : 0, how);
@@ -572,15 +573,15 @@
     std::vector<double> first, next;
     for (int i = 0; i < 100; ++i) {
       const std::string server = "A" + std::to_string(i);
-      // One server a time has the addresses: they are nobody else's.
-      list::ListUpdate news;
-      news.is_snapshot = true;
+      // Only one server at a time has the addresses.
+      list::ListUpdate update;
+      update.is_snapshot = true;
       servers::SendRequest unused;
       list::ServerEntry entry;
       entry.row.server = server;
       entry.addresses = order;
-      news.entries.push_back(entry);
-      rig.servers.apply_list_update(news);
+      update.entries.push_back(entry);
+      rig.servers.apply_list_update(update);
       for (int k = 0; k < 6; ++k) {
         const auto begun = Clock::now();
         rig.wait(rig.send(server, true));
--- a/tests/address_traces.cpp
+++ b/tests/address_traces.cpp
@@ -1,5 +1,5 @@
-// Traces of the module that decides about addresses: one case a run, the kept ones are in traces/. The clock
-// is the test's own.
+// Traces of the address book, one case in each run; the expected output is in traces/. The tests pass their
+// own times.
 #include <cstdio>
 #include <cstring>
 #include <memory>
@@ -22,24 +22,24 @@
   std::printf("%5lld ms  %s\n", static_cast<long long>(now / 1ms), what.c_str());
 }
 
-// One race, its attempts answered as the test says, each after so long; silent where nothing is said.
+// Runs one race. Attempts end as the test states, each after its time; the others hang.
 struct Race {
   struct Act {
     Address to;
     Duration after;
-    AttemptOutcome end;
+    AttemptOutcome outcome;
   };
 
   Race(AddressBook& its_book, const std::string& its_server, Duration its_now)
       : book(its_book), server(its_server), now(its_now), id(book.begin_race(server, now)) {}
   ~Race() { book.end_race(id); }
 
-  // Lets the race run to its end; gives whether it was won.
+  // Runs the race to its end and returns whether it was won.
   bool run(std::vector<Act> acts) {
     struct Out {
       Duration when;
       int attempt;
-      AttemptOutcome end;
+      AttemptOutcome outcome;
     };
     std::vector<Out> outs;
     for (;;) {
@@ -47,7 +47,7 @@
       if (step.action == RaceStep::Action::dial) {
         say(now, "dial " + step.to.text() + (step.needs_proof ? ", to prove itself" : ""));
         for (const Act& act : acts) {
-          if (act.to == step.to) outs.push_back({now + act.after, step.attempt, act.end});
+          if (act.to == step.to) outs.push_back({now + act.after, step.attempt, act.outcome});
         }
       } else if (step.action == RaceStep::Action::abandon) {
         say(now, "abandon attempt " + std::to_string(step.attempt));
@@ -67,9 +67,9 @@
         now = next->when;
         const Out out = *next;
         outs.erase(next);
-        say(now, "attempt " + std::to_string(out.attempt) + ": " + std::string(name_of(out.end)));
-        book.on_attempt_ended(id, out.attempt, out.end, now);
-        if (out.end == AttemptOutcome::connected) return true;
+        say(now, "attempt " + std::to_string(out.attempt) + ": " + std::string(name_of(out.outcome)));
+        book.on_attempt_ended(id, out.attempt, out.outcome, now);
+        if (out.outcome == AttemptOutcome::connected) return true;
       }
     }
   }
@@ -80,8 +80,8 @@
   AddressBook::RaceId id;
 };
 
-std::unique_ptr<AddressBook> book_of(const ConnectSettings& rules = {}) {
-  auto book = std::make_unique<AddressBook>(rules, 7);
+std::unique_ptr<AddressBook> book_of(const ConnectSettings& settings = {}) {
+  auto book = std::make_unique<AddressBook>(settings, 7);
   book->begin_update(true);
   book->update_server("A", true, kAll);
   book->finish_update();
@@ -90,20 +90,21 @@
 
 void state(const AddressBook& book, Duration now) { say(now, "A: " + book.describe("A", now)); }
 
-// Preferred family first, in the list's order within one; the first to come up wins.
+// The preferred family is dialled first, in the list's order within a family; the first attempt to connect
+// wins.
 void preference() {
   const auto book = book_of();
   Race(*book, "A", 0ms).run({{kLocal, 1ms, AttemptOutcome::connected}});
   state(*book, 1ms);
-  ConnectSettings rules;
-  rules.prefer = {Family::ip4};
-  const auto other = book_of(rules);
+  ConnectSettings settings;
+  settings.prefer = {Family::ip4};
+  const auto other = book_of(settings);
   other->update_server("A", true, {kSix, kLocal, at("10.0.0.2:90"), kFour});
   state(*other, 0ms);
 }
 
-// A preferred address that hangs costs one stagger the first time and nothing after that; it is tried again
-// beside the parts, and is preferred again once it answers.
+// A preferred address that hangs costs one stagger the first time and nothing after that. It is tried again
+// without a part, and is preferred again once it responds.
 void hangs() {
   const auto book = book_of();
   Race(*book, "A", 0ms).run({{kSix, 2ms, AttemptOutcome::connected}});
@@ -122,8 +123,8 @@
   state(*book, again + 1ms);
 }
 
-// A clear no starts the next at once; all of them lost is the server not connected; then the one left alone
-// for longest goes first, and nothing waits for the stagger.
+// A refused attempt starts the next one at once. When all attempts fail, the server is not connected. The
+// next race begins with the address whose fault is oldest, and without waiting for the stagger.
 void refused() {
   const auto book = book_of();
   Race(*book, "A", 0ms)
@@ -135,12 +136,11 @@
   state(*book, 31ms);
 }
 
-// Everything hangs: attempts are bounded each and together, at most three at once, and the race has its
-// limit.
+// All attempts hang: each has its limit, at most three run concurrently, and the race has its limit.
 void all_hang() {
-  ConnectSettings rules;
-  rules.attempt = 600ms;
-  const auto book = book_of(rules);
+  ConnectSettings settings;
+  settings.attempt = 600ms;
+  const auto book = book_of(settings);
   std::vector<Address> many;
   for (int i = 1; i <= 12; ++i) many.push_back(at("10.0.0." + std::to_string(i) + ":90"));
   book->update_server("A", true, many);
@@ -148,26 +148,28 @@
   say(1000ms, "addresses kept: " + std::to_string(book->dial_order("A").size()));
 }
 
-// It accepts and resets, or accepts and keeps silent: neither wins, since a fresh address has to speak first.
+// An address that accepts and resets, and one that accepts and does not respond: neither wins, since an
+// address that is not proven has to respond first.
 void proves() {
   const auto book = book_of();
   Race(*book, "A", 0ms)
       .run({{kLocal, 0ms, AttemptOutcome::reset_early}, {kFour, 4ms, AttemptOutcome::connected}});
   state(*book, 104ms);
   for (const ProofPolicy prove : {ProofPolicy::never, ProofPolicy::always}) {
-    ConnectSettings rules;
-    rules.prove = prove;
-    const auto other = book_of(rules);
+    ConnectSettings settings;
+    settings.prove = prove;
+    const auto other = book_of(settings);
     other->on_response("A", kLocal);
     Race(*other, "A", 0ms).run({{kLocal, 1ms, AttemptOutcome::connected}});
   }
 }
 
-// An address that comes and goes is left alone for longer each time, up to the most; quiet times forgive.
+// An address that flaps is held longer each time, up to the maximum; a long enough time without a fault
+// resets that.
 void flaps() {
-  ConnectSettings rules;
-  rules.hold_most = 8s;
-  const auto book = book_of(rules);
+  ConnectSettings settings;
+  settings.hold_most = 8s;
+  const auto book = book_of(settings);
   Duration now{};
   for (int i = 0; i < 6; ++i) {
     book->on_response("A", kLocal);
@@ -181,7 +183,7 @@
   state(*book, now);
 }
 
-// With one address there is nothing to choose: no proof, no doubt, no trial, and the attempt's limit is all.
+// A server with a single address: no proof, no doubt and no trials; only the attempt's limit applies.
 void sole() {
   const auto book = book_of();
   book->update_server("A", true, {kFour});
@@ -192,8 +194,8 @@
   say(400ms, std::string("trial due: ") + (book->next_trial_time() ? "yes" : "no"));
 }
 
-// Addresses that move: an address named for two servers is the newer claimant's; where both came at once it
-// is nobody's, unless it is all a server has.
+// An address that is named for two servers belongs to the newer claim. Where both claims came in one update
+// neither server may use it, unless it is the server's only address.
 void moves() {
   const auto book = book_of();
   const auto both = [&](Duration now) {
@@ -221,7 +223,8 @@
   for (const char* name : {"A", "B", "C"}) say(3ms, std::string(name) + ": " + fresh.describe(name, 3ms));
 }
 
-// The list changes while a race is on: an address taken away is not dialled, nor held against the server.
+// The list changes during a race: an address that is removed is not dialled, and its end is no fault of the
+// server.
 void taken_away() {
   const auto book = book_of();
   Race race(*book, "A", 0ms);
@@ -237,7 +240,7 @@
   other.run({});
 }
 
-// The operator's own addresses: beside the list's or in their place, taken and taken back while serving.
+// The operator's own addresses, beside the list's or instead of them, set and withdrawn while serving.
 void configured() {
   const auto book = book_of();
   book->on_response("A", kSix);
@@ -250,7 +253,8 @@
   state(*book, 0ms);
 }
 
-// No descriptor, a full backlog here: that says nothing of an address. A drained server's are left alone.
+// A missing descriptor or a full local backlog says nothing about an address. A draining server's addresses
+// are not tried.
 void innocent() {
   const auto book = book_of();
   Race(*book, "A", 0ms)
@@ -270,7 +274,7 @@
   state(*book, due + 1ms);
 }
 
-// Random lives of a few servers and addresses that they share: what must hold is looked at after each step.
+// Random events over a few servers that share addresses; the invariants are checked after each step.
 void random_lives() {
   long steps = 0, dials = 0, won = 0, lost = 0, trials = 0, broken = 0;
   const auto must = [&](bool holds, const char* what) {
@@ -280,11 +284,11 @@
   for (std::uint32_t seed = 1; seed <= 40; ++seed) {
     std::mt19937 chance(seed);
     const auto draw = [&](std::uint32_t most) { return chance() % most; };
-    ConnectSettings rules;
-    rules.at_once = 1 + static_cast<int>(draw(3));
-    rules.prove = static_cast<ProofPolicy>(draw(3));
-    rules.trials_at_once = 1 + static_cast<int>(draw(3));
-    AddressBook book(rules, seed);
+    ConnectSettings settings;
+    settings.at_once = 1 + static_cast<int>(draw(3));
+    settings.prove = static_cast<ProofPolicy>(draw(3));
+    settings.trials_at_once = 1 + static_cast<int>(draw(3));
+    AddressBook book(settings, seed);
     std::vector<Address> pool = kAll;
     for (int i = 0; i < 6; ++i) pool.push_back(at("10.0.1." + std::to_string(i + 1) + ":90"));
     struct Open {
@@ -311,7 +315,7 @@
         book.remove_server(name);
         book.finish_update();
       } else if (act < 12) {
-        book.configure(rules, {{name, {draw(2) == 0, {pool[draw(9)], pool[draw(9)]}}}});
+        book.configure(settings, {{name, {draw(2) == 0, {pool[draw(9)], pool[draw(9)]}}}});
       } else if (act < 40 && open.size() < 5) {
         open.push_back({book.begin_race(name, now), now, {}});
       } else if (act < 70) {
@@ -347,7 +351,7 @@
         book.on_trial_ended(on_trial.back(), static_cast<AttemptOutcome>(draw(7)), 1ms, now);
         on_trial.pop_back();
       }
-      must(static_cast<int>(on_trial.size()) <= rules.trials_at_once, "trials are bounded");
+      must(static_cast<int>(on_trial.size()) <= settings.trials_at_once, "trials are bounded");
       for (std::size_t k = 0; k < open.size();) {
         Open& race = open[k];
         bool over = false;
@@ -357,7 +361,7 @@
           if (step.action == RaceStep::Action::dial) {
             ++dials;
             must(race.out.size() < 3, "attempts at once are bounded");
-            must(now < race.begun + rules.race, "nothing is dialled past a race's limit");
+            must(now < race.begun + settings.race, "nothing is dialled past a race's limit");
             race.out[step.attempt] = step.to;
           } else if (step.action == RaceStep::Action::abandon) {
             race.out.erase(step.attempt);
@@ -366,7 +370,7 @@
             break;
           } else {
             must(step.wait_until > now, "a wait lies ahead");
-            must(step.wait_until <= race.begun + rules.race, "a wait ends with its race");
+            must(step.wait_until <= race.begun + settings.race, "a wait ends with its race");
             break;
           }
         }
--- a/tests/parser_traces.cpp
+++ b/tests/parser_traces.cpp
@@ -1,5 +1,6 @@
-// Traces of the parsers and of the configuration's complaints, one case a run; the kept ones are in traces/.
-// Each sample is read whole, byte by byte and split at every place: one line tells what all of these gave.
+// Traces of the parsers and of the configuration's errors, one case in each run; the expected output is in
+// traces/. Each sample is parsed whole, byte by byte and split at every position, and one line shows the
+// common result.
 #include <fcntl.h>
 #include <signal.h>
 #include <sys/wait.h>
@@ -42,7 +43,7 @@
   return out.size() > 200 ? out.substr(0, 60) + "... (" + std::to_string(text.size()) + ")" : out;
 }
 
-// Reads pieces one after the other and says what came of it.
+// Parses pieces one after the other and returns a description of the result.
 using Read = std::function<std::string(const std::vector<std::string>&)>;
 
 void at_every_split(const std::string& name, const std::string& bytes, const Read& read) {
@@ -302,7 +303,7 @@
     {"name":"s1","address":"10.1.0.18:9000","zone":"a","type":"m2","group":2,"status":"ready","weight":1.5,"since_ms":0},
     {"name":"s2","address":"10.1.0.19:9000","zone":"b","group":0,"status":"draining","weight":1.0,"since_ms":999000},
     {"name":"s3","address":"10.1.0.20:9000","zone":"b","group":1,"status":"gone","since_ms":1000500}]})");
-  // One entry that makes no sense costs that entry, not the list.
+  // An invalid entry is skipped; the rest of the list counts.
   read(R"({"index":42,"snapshot":false,"endpoints":[
     {"name":"s1","address":"10.1.0.18:9000","zone":"c","group":0,"status":"ready"},
     {"name":"s2","address":"10.1.0.18:9000","zone":"a","group":3,"status":"ready"},
@@ -386,8 +387,8 @@
   std::printf("too much is %s\n", ring.append(std::string(10'001, 'x')) ? "TAKEN" : "refused");
 }
 
-// Seeded damage: stretches cut out or repeated, bytes changed. Whatever comes, it is read alike however it is
-// split, and either means something or is refused; the sanitizers watch.
+// Seeded damage: stretches are cut out or repeated, and bytes changed. The result must not depend on how the
+// bytes are split, and must be a message or an error; sanitizer builds check the memory accesses.
 void damage() {
   std::mt19937 chance(7);
   const auto below = [&](std::size_t most) { return chance() % std::max<std::size_t>(most, 1); };
@@ -475,9 +476,9 @@
          refusable([](const std::string& text) { config::read_commission(text); }));
 }
 
-// A process that is stopped while it waits, and goes on after a timer is due, reads what has come in
-// meanwhile before that timer speaks. Else a gatherer gives up, after every pause, on answers that wait to be
-// read, and sends their parts again (drawn fleets 56 and 135 with keepers).
+// A process that is stopped while it waits, and continued after a timer is due, has to handle the input
+// received meanwhile before that timer. Otherwise a gatherer that was paused gives up on answers that only
+// wait to be read, and sends their parts again (drawn fleets 56 and 135 with keepers).
 void stood_still() {
   int told[2], back[2];
   if (pipe(told) != 0 || pipe(back) != 0) return;
@@ -508,7 +509,7 @@
     _exit(out ? 0 : 1);
   }
   char said[64] = {};
-  // It has begun, and is given the time to be within its wait.
+  // The child has started; the pause lets it reach its wait.
   if (read(back[0], said, 1) != 1) return;
   usleep(50'000);
   kill(child, SIGSTOP);
