--- a/bench/benchmarks.cpp
+++ b/bench/benchmarks.cpp
@@ -30,8 +30,8 @@
 }
 BENCHMARK(reference);
 
-Rid part_id(std::uint32_t number, std::size_t piece) {
-  Rid out;
+RequestId part_id(std::uint32_t number, std::size_t piece) {
+  RequestId out;
   char digits[17];
   std::snprintf(digits, sizeof digits, "%08x0000%04x", number, static_cast<unsigned>(piece));
   std::copy_n(digits, 16, out.text.begin());
@@ -47,33 +47,33 @@
   s.fleet.cells = std::max(1, servers / 12);
   s.fleet.shards = 128;
   s.op_types[0].parts = static_cast<int>(pieces);
-  Choice choice(scenario::terms_of(s, 0), 1);
+  DecisionEngine choice(scenario::terms_of(s, 0), 1);
   Duration now{};
-  choice.clock(now);
-  choice.list_opens(true, false);
+  choice.advance_clock(now);
+  choice.on_list_begin(true, false);
   for (int i = 0; i < servers; ++i) {
-    ListRow row;
+    ListEntry row;
     row.server = "s" + std::to_string(i);
     row.cell = i % s.fleet.cells;
-    choice.list_row(row);
+    choice.on_list_entry(row);
   }
-  choice.list_closes();
+  choice.on_list_complete();
   std::uint32_t number = 0;
-  std::vector<Rid> sent;
+  std::vector<RequestId> sent;
   for (auto _ : state) {
     now += 10ms;
     ++number;
-    choice.clock(now);
-    choice.multiget_taken(
+    choice.advance_clock(now);
+    choice.on_multiget_received(
         {part_id(number, 0), static_cast<double>(number), 0, 0, static_cast<int>(pieces), now + 2s});
     for (std::size_t i = 0; i < pieces; ++i)
-      choice.part_taken({part_id(number, i + 1), static_cast<double>(number),
-                         static_cast<int>((number + i * 3) % 128), 1.0 / static_cast<double>(pieces), 0,
-                         20ms});
+      choice.on_part_received({part_id(number, i + 1), static_cast<double>(number),
+                               static_cast<int>((number + i * 3) % 128), 1.0 / static_cast<double>(pieces), 0,
+                               20ms});
     const auto pull = [&] {
-      while (choice.next_verdict()) {
+      while (choice.next_reply()) {
       }
-      while (choice.next_withdrawal()) {
+      while (choice.next_cancellation()) {
       }
       sent.clear();
       while (const auto send = choice.next_send()) sent.push_back(send->part);
@@ -81,13 +81,14 @@
       }
       while (choice.next_list_call()) {
       }
-      while (choice.next_wake()) {
+      while (choice.next_wake_delay()) {
       }
     };
     pull();
     now += 20ms;
-    choice.clock(now);
-    for (const Rid& part : std::vector<Rid>(sent)) choice.send_ended(part, 0, Fate::returned, 20ms, {});
+    choice.advance_clock(now);
+    for (const RequestId& part : std::vector<RequestId>(sent))
+      choice.on_send_ended(part, 0, SendOutcome::returned, 20ms, {});
     pull();
   }
   state.SetItemsProcessed(state.iterations() * static_cast<std::int64_t>(pieces));
--- a/src/carrier/carrier.cpp
+++ b/src/carrier/carrier.cpp
@@ -64,7 +64,7 @@
     const std::string& name = entry.row.server;
     if (!databases_.contains(name)) continue;
     Known& known = servers_[name];
-    known.up = entry.row.standing == Standing::up;
+    known.up = entry.row.status == ServerStatus::up;
     known.listed = entry.addresses;
     merge(name, known);
     if (known.up) leaving_.listed_up(name);
@@ -110,7 +110,7 @@
   for (auto& [name, known] : servers_) {
     if (!known.up) {
       // Nothing new goes to it, and what waits for a connection has not run.
-      for (const Key& key : std::exchange(known.waiting, {})) end(key, Fate::dial_failed);
+      for (const Key& key : std::exchange(known.waiting, {})) end(key, SendOutcome::dial_failed);
       emptied.push_back(name);
     }
   }
@@ -135,11 +135,11 @@
     tally_.parts += 1;
     const auto at = servers_.find(server);
     if (at == servers_.end() || !at->second.up || at->second.waiting.size() >= kMostWaiting) {
-      end(key, Fate::dial_failed);
+      end(key, SendOutcome::dial_failed);
       continue;
     }
     if (!leaving_.takes(server, loop_.now())) {
-      end(key, Fate::pushed_back);
+      end(key, SendOutcome::pushed_back);
       continue;
     }
     job.expiry = loop_.at(limit, [this, key] {
@@ -196,7 +196,7 @@
     if (!dial(server)) {
       // Neither a descriptor nor an address: it has not run, and another server may have it.
       waiting.erase(waiting.begin() + static_cast<std::ptrdiff_t>(--i));
-      end(key, Fate::dial_failed);
+      end(key, SendOutcome::dial_failed);
       continue;
     }
     open += 1;
@@ -256,7 +256,7 @@
     const Said said = link.talk->over();
     link.job.reset();
     if (said.what == Said::What::answered) {
-      end(key, Fate::returned, said.value);
+      end(key, SendOutcome::returned, said.value);
     } else {
       end(key, when_broken(jobs_.at(key).stage));
     }
@@ -272,7 +272,7 @@
   });
   if (!dead || others) return next(server);
   // Nothing comes up there: whatever waits has not run, and another server may have it.
-  for (const Key& key : std::exchange(at->second.waiting, {})) end(key, Fate::dial_failed);
+  for (const Key& key : std::exchange(at->second.waiting, {})) end(key, SendOutcome::dial_failed);
 }
 
 void Carrier::came_up(Link& link) {
@@ -301,7 +301,7 @@
   if (request.empty()) {
     // Nothing has been written. Another server of the kind could do no more.
     std::string words = link.talk->declined();
-    end(key, words.empty() ? Fate::app_error : Fate::returned, std::move(words));
+    end(key, words.empty() ? SendOutcome::app_error : SendOutcome::returned, std::move(words));
     return;
   }
   if (link.idle) loop_.cancel(*link.idle);
@@ -354,9 +354,9 @@
         const Key key = *link.job;
         link.job.reset();
         end(key,
-            said.what == Said::What::answered  ? Fate::returned
-            : said.what == Said::What::refused ? Fate::pushed_back
-                                               : Fate::app_error,
+            said.what == Said::What::answered  ? SendOutcome::returned
+            : said.what == Said::What::refused ? SendOutcome::pushed_back
+                                               : SendOutcome::app_error,
             std::move(said.value));
         if (!link.ended) free(link);
         break;
@@ -417,7 +417,7 @@
 // ---- ends ----
 
 // The one place where a part gets its fate.
-void Carrier::end(const Key& key, Fate fate, std::string value) {
+void Carrier::end(const Key& key, SendOutcome fate, std::string value) {
   const auto at = jobs_.find(key);
   if (!must_hold(at != jobs_.end(), "a part on a carrier has one fate")) return;
   if (at->second.expiry) loop_.cancel(*at->second.expiry);
@@ -435,7 +435,7 @@
   ended.push_back(std::move(out));
 }
 
-void Carrier::give_up(const Key& key, Fate fate) {
+void Carrier::give_up(const Key& key, SendOutcome fate) {
   Job& job = jobs_.at(key);
   const auto at = links_.find(job.link);
   if (job.link == 0 || at == links_.end()) {
@@ -468,7 +468,7 @@
   });
 }
 
-bool Carrier::withdraw(const Rid& part, int send) {
+bool Carrier::withdraw(const RequestId& part, int send) {
   const auto at = jobs_.find({part, send});
   if (at == jobs_.end()) return false;
   give_up(at->first, when_withdrawn(at->second.stage));
@@ -480,8 +480,9 @@
   servers::Probed out;
   out.server = server;
   const auto at = servers_.find(server);
-  out.fate = at != servers_.end() && at->second.up && leaving_.takes(server, loop_.now()) ? Fate::returned
-                                                                                          : Fate::dial_failed;
+  out.fate = at != servers_.end() && at->second.up && leaving_.takes(server, loop_.now())
+                 ? SendOutcome::returned
+                 : SendOutcome::dial_failed;
   probed.push_back(std::move(out));
 }
 
--- a/src/carrier/carrier.h
+++ b/src/carrier/carrier.h
@@ -39,7 +39,7 @@
 
   void listed(const list::News& news);
   void call(const std::string& server, std::vector<servers::Errand> errands);
-  bool withdraw(const Rid& part, int send);  // false: it is not here
+  bool withdraw(const RequestId& part, int send);  // false: it is not here
   void probe(const std::string& server);
   void bury();
 
@@ -57,7 +57,7 @@
     std::uint64_t link = 0;
     std::optional<net::Loop::Timer> expiry;
   };
-  using Key = std::pair<Rid, int>;
+  using Key = std::pair<RequestId, int>;
   struct Known {
     bool up = false;
     std::vector<net::Address> listed, addresses;  // as the list has them; as they are dialled
@@ -77,8 +77,8 @@
   void close(Link& link);
   void free(Link& link);
   void next(const std::string& server);
-  void end(const Key& key, Fate fate, std::string value = {});
-  void give_up(const Key& key, Fate fate);
+  void end(const Key& key, SendOutcome fate, std::string value = {});
+  void give_up(const Key& key, SendOutcome fate);
 
   net::Loop& loop_;
   const config::Carriage& carriage_;
--- a/src/carrier/fates.h
+++ b/src/carrier/fates.h
@@ -25,13 +25,17 @@
 
 // A connection that never came up, or broke before the last byte was written, brought nothing whole: it has
 // not run. After that it may have.
-constexpr Fate when_broken(Stage stage) {
-  return stage == Stage::written ? Fate::dropped : Fate::dial_failed;
+constexpr SendOutcome when_broken(Stage stage) {
+  return stage == Stage::written ? SendOutcome::dropped : SendOutcome::dial_failed;
 }
 
 // Its time is up. What was never written has cost nobody anything.
-constexpr Fate when_late(Stage stage) { return stage == Stage::written ? Fate::expired : Fate::unused; }
-constexpr Fate when_withdrawn(Stage stage) { return stage == Stage::written ? Fate::revoked : Fate::unused; }
+constexpr SendOutcome when_late(Stage stage) {
+  return stage == Stage::written ? SendOutcome::expired : SendOutcome::unused;
+}
+constexpr SendOutcome when_withdrawn(Stage stage) {
+  return stage == Stage::written ? SendOutcome::revoked : SendOutcome::unused;
+}
 
 // A server of which an association was closed in order, because it stops, takes nothing new until this is
 // over, or the list says anew that it is up: the protocol's own way to tell of a drain.
--- a/src/checker/checker.cpp
+++ b/src/checker/checker.cpp
@@ -18,8 +18,8 @@
                                             "dial_failed", "dropped",   "revoked",     "unused"};
 constexpr std::size_t kLongestTrace = 200;
 
-bool never_ran(Fate fate) {
-  return fate == Fate::pushed_back || fate == Fate::dial_failed || fate == Fate::unused;
+bool never_ran(SendOutcome fate) {
+  return fate == SendOutcome::pushed_back || fate == SendOutcome::dial_failed || fate == SendOutcome::unused;
 }
 
 }  // namespace
@@ -42,7 +42,9 @@
   if (e.what == What::taken || e.what == What::answered) put("parts", e.count);
   if (e.what == What::answered) out += e.whole ? " whole" : " in_part";
   if (e.what == What::learned)
-    out += e.standing == Standing::up ? " up" : e.standing == Standing::draining ? " draining" : " gone";
+    out += e.standing == ServerStatus::up         ? " up"
+           : e.standing == ServerStatus::draining ? " draining"
+                                                  : " gone";
   if (e.what == What::started) out += e.cold ? " cold" : " warm";
   return out;
 }
@@ -107,7 +109,7 @@
     case What::learned: {
       const std::pair<int, int> key{event.gatherer, event.server};
       if (event.cold) knows_cold_.emplace(std::pair{event.server, event.gatherer}, event.at);
-      if (event.standing == Standing::up) {
+      if (event.standing == ServerStatus::up) {
         taking_nothing_.erase(key);
       } else {
         taking_nothing_.emplace(key, event.at);
@@ -220,7 +222,7 @@
           send.may_have_run = false;
           if (send.ran) breach(2, "a part told as never run had run", event.at, mg.trace);
         }
-        if (event.fate == Fate::returned) {
+        if (event.fate == SendOutcome::returned) {
           part.returned = true;
           if (event.heard && !part.returned_at) part.returned_at = event.at;
         }
--- a/src/checker/checker.h
+++ b/src/checker/checker.h
@@ -49,8 +49,8 @@
   bool whole = false;
   bool cold = false;
   bool counted = true;  // sent: it is not the part's first
-  Fate fate = Fate::unused;
-  Standing standing = Standing::up;
+  SendOutcome fate = SendOutcome::unused;
+  ServerStatus standing = ServerStatus::up;
   Duration until{};
   bool heard = true;  // told, returned: it is known that the gatherer had it, not only that it was said
   double work = 0;    // arrived: seconds on one core that it is told to take
--- a/src/choice.cpp
+++ b/src/choice.cpp
@@ -1,9 +1,9 @@
 // marbledyke: every decision of the gatherer.
-// Invoked by a host (src/gatherer/ on sockets, src/wirehost/ on the simulator's wire): it makes one Choice
-// for each instance from the operators' terms and a seed, reports in each turn what has come in, then pulls
-// what is decided. The interface is src/choice.h, the plain types are in src/model/. The ordinary path is the
-// design of docs/design.md: place_parts() and pick().
-// Mechanisms beside the design (at most six):
+// Invoked by a host (src/gatherer/ on sockets, src/wirehost/ on the simulator's wire): it makes one
+// DecisionEngine for each instance from the operators' terms and a seed, reports in each turn what has come
+// in, then pulls what is decided. The interface is src/choice.h, the plain types are in src/model/. The
+// ordinary path is the design of docs/design.md: place_parts() and pick(). Mechanisms beside the design (at
+// most six):
 //   1. belief     a posterior of success for each replica; whether a doubtful one gets work is drawn from it
 //   2. pace       how slowly each replica answers for its load, and how long it has been silent
 //   3. copies     further sends: tries after failures, second copies of overdue parts, within a budget
@@ -74,8 +74,8 @@
 
 }  // namespace
 
-struct Choice::Mind {
-  Mind(const Terms& terms, std::uint32_t seed)
+struct DecisionEngine::Impl {
+  Impl(const FlatSettings& terms, std::uint32_t seed)
       : contract(terms),
         chance(seed),
         multigets(static_cast<std::size_t>(contract.at_least("limits.max-open", 1000, 1))),
@@ -102,7 +102,7 @@
     crossing = kCrossing * contract.at_least("prices.cross-zone", 0, 0) /
                std::max(contract.at_least("prices.waste", 0, 0), 0.05);
     peers = contract.at_least("replicas-of-me", 1, 1);
-    tick = contract.time("tick", 5ms);
+    tick = contract.duration("tick", 5ms);
     customers.clear();
     allowances = 0;
     for (int i = 0; contract.has("customers." + std::to_string(i) + ".name"); ++i) {
@@ -112,37 +112,37 @@
       allowances += allowance;
     }
     probing = contract.flag("limits.probing", false);
-    connecting = contract.time("limits.connect-timeout", 0s);
-    cold = contract.time("contract.cold", 0s);
+    connecting = contract.duration("limits.connect-timeout", 0s);
+    cold = contract.duration("contract.cold", 0s);
     cold_from = contract.share("contract.cold-from", 1);
-    cold_window = contract.time("contract.overload-for", 1s);
+    cold_window = contract.duration("contract.overload-for", 1s);
     cold_multiple = contract.at_least("contract.fall-multiple", 1, 0);
     copies = contract.flag("limits.second-copies", false);
     cancels = contract.flag("limits.cancel", false);
     budgeted = contract.has("contract.resend-span");
     further_free = budgeted ? contract.at_least("contract.extra-floor", 0, 0) : kOwnFurtherFree;
     further_share = budgeted ? contract.at_least("contract.extra-per-request", 0, 0) : kOwnFurther;
-    by_work = contract.word("value-by", "request") == "work";
+    by_work = contract.text("value-by", "request") == "work";
     look_price = contract.at_least("prices.probe", 0, 0) + contract.at_least("prices.handshake", 0, 0) + 1e-4;
     bool all_told = false;
     for (std::size_t i = 0; i < unit.size(); ++i) {
-      const std::string field = contract.word("telemetry.fields." + std::to_string(i), "");
+      const std::string field = contract.text("telemetry.fields." + std::to_string(i), "");
       all_told |= field == "active";
       unit[i] = field == "active" || field == "waiting" ? 1 : field == "cpu" && !all_told ? kAtOnce : 0;
     }
-    const Duration window = contract.time("contract.resend-span", 10s);
-    taken.set(window, now, 0);
-    for (WindowCount* made : {&further, &copied}) made->set(window, now, made->at_most(now));
+    const Duration window = contract.duration("contract.resend-span", 10s);
+    taken.set_window(window, now, 0);
+    for (SlidingWindowCounter* made : {&further, &copied}) made->set_window(window, now, made->at_most(now));
     by_cell.resize(static_cast<std::size_t>(cells));
     asked_of.resize(std::max(asked_of.size(), by_cell.size()));
   }
 
   // New terms in a running gatherer. What is in hand ends under the op type and the layout that it was taken
   // with; what was learned stays, and what was sent goes on counting against the budgets.
-  void renew(const Terms& terms) {
+  void update_settings(const FlatSettings& terms) {
     const std::vector<OpType> before = std::exchange(op_types, {});
     std::vector<int> kept(before.size(), -1);
-    contract = Contract(terms);
+    contract = SettingsReader(terms);
     read_terms();
     for (OpType& op : op_types) {
       for (const OpType& old : before) {
@@ -173,17 +173,17 @@
       const std::string place = "." + std::to_string(i);
       if (!contract.has(at + "deadline")) break;
       OpType op;
-      op.name = contract.word(at + "name", "");
-      const std::string effect = contract.word(at + "effect", "once");
+      op.name = contract.text(at + "name", "");
+      const std::string effect = contract.text(at + "effect", "once");
       if (effect != "repeatable" && effect != "by_key" && effect != "once")
-        Contract::refuse(at + "effect", "unknown");
-      op.repeat = effect == "repeatable" ? Repeat::retriable
-                  : effect == "by_key"   ? Repeat::deduped
-                                         : Repeat::non_retriable;
-      op.route_timeout = contract.time(at + "deadline", 0s);
-      if (op.route_timeout <= 0s) Contract::refuse(at + "deadline", "must be above 0");
-      op.latency_budget = std::min(contract.time(at + "objective", op.route_timeout), op.route_timeout);
-      op.dedupe_window = contract.time(at + "key-ttl", 0s);
+        SettingsReader::reject(at + "effect", "unknown");
+      op.repeat = effect == "repeatable" ? RetryClass::retriable
+                  : effect == "by_key"   ? RetryClass::deduped
+                                         : RetryClass::non_retriable;
+      op.route_timeout = contract.duration(at + "deadline", 0s);
+      if (op.route_timeout <= 0s) SettingsReader::reject(at + "deadline", "must be above 0");
+      op.latency_budget = std::min(contract.duration(at + "objective", op.route_timeout), op.route_timeout);
+      op.dedupe_window = contract.duration(at + "key-ttl", 0s);
       op.importance = contract.at_least(at + "worth", 1, 0);
       op.late_share = contract.share(at + "late-share", 0);
       op.floor = contract.share("specifics.class-floor" + place, 1);
@@ -193,7 +193,7 @@
       op.part_work = std::max(2 * contract.at_least("specifics.overhead", 0, 0), 20'000.0);
       op_types.push_back(op);
     }
-    if (op_types.empty()) Contract::refuse("categories", "there is no op type");
+    if (op_types.empty()) SettingsReader::reject("categories", "there is no op type");
     present = static_cast<int>(op_types.size());
   }
 
@@ -203,7 +203,7 @@
 
   // ---- what is known ----
 
-  void clock(Duration t) {
+  void advance_clock(Duration t) {
     verdict_cursor = 0;
     now = t;
     planned = false;
@@ -215,12 +215,12 @@
     return at == by_server.end() ? nullptr : &replicas[static_cast<std::size_t>(at->second)];
   }
 
-  void list_opens(bool whole, bool remembered) {
+  void on_list_begin(bool whole, bool remembered) {
     list_remembered = remembered;
     for (Replica& r : replicas) r.named = !whole;
   }
 
-  void list_row(const ListRow& row) {
+  void on_list_entry(const ListEntry& row) {
     Replica* r = replica_of(row.server);
     if (r == nullptr) {
       if (spare.empty()) spare.push_back(static_cast<int>(replicas.size()));
@@ -229,7 +229,7 @@
       r = &(rep(spare.back()) = Replica{});
       spare.pop_back();
       r->server = row.server;
-      r->hash = hash_text(row.server);
+      r->hash = hash_string(row.server);
       r->decayed_at = now;
       forget(*r);
     } else if (row.started != r->started && row.started) {
@@ -237,14 +237,14 @@
     }
     r->zone = row.zone;
     r->cell = std::max(row.cell, 0);
-    r->standing = row.standing;
+    r->standing = row.status;
     r->started = row.started;
     r->named = true;
   }
 
-  void list_closes() {
+  void on_list_complete() {
     for (Replica& r : replicas) {
-      if (!r.named) r.standing = Standing::gone;  // absent from a whole list
+      if (!r.named) r.standing = ServerStatus::gone;  // absent from a whole list
     }
     had.resize(replicas.size() * static_cast<std::size_t>(shards), 0.0);
     forget_gone();
@@ -262,7 +262,7 @@
     for (auto& cell : by_cell) cell.clear();
     for (std::size_t i = 0; i < replicas.size(); ++i) {
       const auto cell = static_cast<std::size_t>(replicas[i].cell);
-      if (replicas[i].standing == Standing::up && cell < by_cell.size())
+      if (replicas[i].standing == ServerStatus::up && cell < by_cell.size())
         by_cell[cell].push_back(static_cast<int>(i));
     }
   }
@@ -270,7 +270,8 @@
   // Where servers come under ever new ids, those gone would fill memory. A place is used again once no part
   // in hand was sent there, no look is out, and what it was sent while cold cannot count if it comes back.
   void forget_gone() {
-    for (Replica& r : replicas) r.kept = r.standing != Standing::gone || r.asked || now - r.decayed_at < cold;
+    for (Replica& r : replicas)
+      r.kept = r.standing != ServerStatus::gone || r.asked || now - r.decayed_at < cold;
     for (const int m : hand)
       for (int p = multigets.at(m).first_part; p >= 0; p = parts.at(p).next)
         for (int i = 0; i < parts.at(p).sent; ++i) rep(parts.at(p).send(i).replica).kept = true;
@@ -281,43 +282,44 @@
     }
   }
 
-  void list_refused(Duration most_backoff) {
+  void on_list_call_refused(Duration most_backoff) {
     watching = false;
     asked_at.reset();
     // Spread out, so that gatherers refused together do not come back together.
     const double wait = std::min(0.25 * std::pow(2.0, refusals), 4.0);
     refusals = std::min(refusals + 1, 4);
     const double spread = std::uniform_real_distribution<double>(0.5, 1.5)(chance);
-    ask_from = now + std::min(span(1e6 * wait * spread), span(micros(most_backoff) * spread / 1.5));
+    ask_from =
+        now + std::min(from_micros(1e6 * wait * spread), from_micros(to_micros(most_backoff) * spread / 1.5));
     note = "list call refused";
   }
 
-  void multiget_taken(const MultigetAsk& ask) {
+  void on_multiget_received(const MultigetRequest& ask) {
     if (multigets.find(ask.id) >= 0) return;
-    const int place = multigets.take(ask.id);
+    const int place = multigets.insert(ask.id);
     Multiget& mg = multigets.at(place);
     mg.number = ask.number;
     mg.op_type = std::clamp(ask.op_type, 0, present - 1);
     mg.cells = cells;
     mg.width = width;
     mg.taken = now;
-    mg.last_moment = ask.client_leaves - kGlance - 2 * tick;
-    mg.awaited = ask.parts;
-    mg.importance = type_of(mg).importance * within_share(ask.customer, ask.repeated);
+    mg.last_moment = ask.client_deadline - kGlance - 2 * tick;
+    mg.awaited = ask.part_count;
+    mg.importance = type_of(mg).importance * within_share(ask.customer, ask.is_retry);
     hand.push_back(place);
     taken.add(now);
   }
 
   // What a customer sends beyond its share of this gatherer's traffic is worth little.
   double within_share(int customer, bool repeated) {
-    own_rate = own_rate * fade(now - own_rate_at, kShardMemory) + (repeated ? 0 : 1);
+    own_rate = own_rate * exponential_decay(now - own_rate_at, kShardMemory) + (repeated ? 0 : 1);
     own_rate_at = now;
     if (customer < 0 || customer >= static_cast<int>(customers.size())) return 1;
     Customer& c = customers[static_cast<std::size_t>(customer)];
     if (c.allowance <= 0) return 1;
     // A gatherer that takes more than an even part of the traffic has as much more of each customer's share.
-    const double busier = std::max(own_rate / seconds(kShardMemory) / allowances, 1.0);
-    c.tokens = std::min(c.tokens + busier * c.allowance * seconds(now - c.filled),
+    const double busier = std::max(own_rate / to_seconds(kShardMemory) / allowances, 1.0);
+    c.tokens = std::min(c.tokens + busier * c.allowance * to_seconds(now - c.filled),
                         std::max(3.0, 3 * busier * c.allowance));
     c.filled = now;
     if (c.tokens < 1) return contract.share("over-share-worth", 1);
@@ -325,14 +327,14 @@
     return 1;
   }
 
-  void part_taken(const PartAsk& ask) {
+  void on_part_received(const PartRequest& ask) {
     taken.add(now);
     if (parts.find(ask.id) >= 0) return;
     for (auto at = hand.rbegin(); at != hand.rend(); ++at) {
       Multiget& mg = multigets.at(*at);
-      if (mg.closed || mg.number != ask.multiget) continue;
+      if (mg.closed || mg.number != ask.multiget_number) continue;
       const OpType& op = type_of(mg);
-      const int place = parts.take(ask.id);
+      const int place = parts.insert(ask.id);
       Part& part = parts.at(place);
       for (int j = 0; j < std::min(mg.width, mg.cells); ++j)
         asked_of[static_cast<std::size_t>((ask.shard + j) % mg.cells)].add(now, kShardMemory);
@@ -343,7 +345,7 @@
       part.step = mg.step;
       part.weight = ask.weight;
       part.key = ask.key;
-      part.cost = ask.hint > Duration::zero() ? micros(ask.hint) : op.part_work;
+      part.cost = ask.cost_hint > Duration::zero() ? to_micros(ask.cost_hint) : op.part_work;
       part.order = next_order++;
       mg.first_part = place;
       mg.awaited = std::max(0, mg.awaited - 1);
@@ -362,20 +364,20 @@
   void hear_load(Replica& r, const LoadReport& report, Duration waited) {
     settle(r);
     double held = 0;
-    for (std::size_t i = 0; i < unit.size(); ++i) held += unit[i] * report.value[i];
+    for (std::size_t i = 0; i < unit.size(); ++i) held += unit[i] * report.values[i];
     if (report.count > 0) fleet_held += kStretchGain * (held - fleet_held);
-    r.foreign = std::max(held * mean_charge - r.out, kAtOnce * micros(waited));
+    r.foreign = std::max(held * mean_charge - r.out, kAtOnce * to_micros(waited));
     fleet_foreign += kWaitGain * (r.foreign - fleet_foreign);
     r.news_at = now;
   }
 
-  void probe_ended(std::string_view server, Fate fate, Duration elapsed, const LoadReport& report) {
+  void on_probe_ended(std::string_view server, SendOutcome fate, Duration elapsed, const LoadReport& report) {
     Replica* r = replica_of(server);
     if (r == nullptr) return;
     r->asked.reset();
     looked_at = now;
-    if (fate == Fate::returned) {
-      look_time += kStretchGain * (micros(elapsed) - look_time);
+    if (fate == SendOutcome::returned) {
+      look_time += kStretchGain * (to_micros(elapsed) - look_time);
       hear_load(*r, report, elapsed);
     } else {
       believe(r->belief, 0, 2, kBeliefMemory);
@@ -390,7 +392,7 @@
   }
 
   void believe(Belief& b, double good, double bad, Duration memory) {
-    const double keep = fade(now - b.at, memory);
+    const double keep = exponential_decay(now - b.at, memory);
     b.good = std::min(kPrior + (b.good - kPrior) * keep + good, kMostGood);
     b.bad = std::min(b.bad * keep + bad, kMostBad);
     b.at = now;
@@ -408,10 +410,10 @@
   void settle(Replica& r) {
     const Duration age = now - r.decayed_at;
     if (age <= Duration::zero()) return;
-    r.recent *= fade(age, kRecent);
-    r.foreign = fleet_foreign + (r.foreign - fleet_foreign) * fade(age, kNews);
+    r.recent *= exponential_decay(age, kRecent);
+    r.foreign = fleet_foreign + (r.foreign - fleet_foreign) * exponential_decay(age, kNews);
     // A replica shunned for its pace brings no news of it; without this it would be shunned for good.
-    r.pace = fleet_pace * std::pow(r.pace / fleet_pace, fade(age, kPaceMemory));
+    r.pace = fleet_pace * std::pow(r.pace / fleet_pace, exponential_decay(age, kPaceMemory));
     r.decayed_at = now;
   }
 
@@ -421,7 +423,8 @@
     fleet_pace *= std::pow(std::clamp(ratio / fleet_pace, 0.1, 10.0), kPaceGain / 10);
   }
 
-  void send_ended(const Rid& id, int send, Fate fate, Duration elapsed, const LoadReport& report) {
+  void on_send_ended(const RequestId& id, int send, SendOutcome fate, Duration elapsed,
+                     const LoadReport& report) {
     const int place = parts.find(id);
     if (place < 0) return;
     Part& part = parts.at(place);
@@ -434,39 +437,39 @@
     Replica& r = rep(s.replica);
     settle(r);
     r.out = std::max(0.0, r.out - s.charge);
-    if (fate == Fate::pushed_back || fate == Fate::dial_failed || fate == Fate::unused)
+    if (fate == SendOutcome::pushed_back || fate == SendOutcome::dial_failed || fate == SendOutcome::unused)
       s.may_have_run = false;
     if (report.count > 0) hear_load(r, report, 0s);
-    const double ratio = micros(elapsed) / std::max(s.base, 1.0);
+    const double ratio = to_micros(elapsed) / std::max(s.base, 1.0);
     switch (fate) {
-      case Fate::returned:
+      case SendOutcome::returned:
         believe(r, mg.op_type, 1, 0);
         learn_pace(r, ratio);
-        fleet_wait += kWaitGain * (micros(elapsed) / (part.cost + call_cost) - fleet_wait);
+        fleet_wait += kWaitGain * (to_micros(elapsed) / (part.cost + call_cost) - fleet_wait);
         learn_work(type_of(mg), s, part, elapsed);
         if (warmth(r) >= 1) {
-          warm_flow = warm_flow * fade(now - flow_at, kFlowMemory) + s.charge;
+          warm_flow = warm_flow * exponential_decay(now - flow_at, kFlowMemory) + s.charge;
           flow_at = now;
         }
         break;
-      case Fate::app_error:
-      case Fate::dropped:
-      case Fate::dial_failed:
-      case Fate::expired:
+      case SendOutcome::app_error:
+      case SendOutcome::dropped:
+      case SendOutcome::dial_failed:
+      case SendOutcome::expired:
         believe(r, mg.op_type, 0, 1);
         break;
-      case Fate::pushed_back:
+      case SendOutcome::pushed_back:
         learn_pace(r, r.pace * 2);
         break;
-      case Fate::revoked:
+      case SendOutcome::revoked:
         if (s.counted_late) believe(r, mg.op_type, 0, 0.5);
         if (ratio > r.pace) learn_pace(r, ratio);  // it would have taken longer still
         break;
-      case Fate::unused:
+      case SendOutcome::unused:
         break;
     }
     if (!mg.closed && !part.returned) {
-      if (fate == Fate::returned) {
+      if (fate == SendOutcome::returned) {
         part.returned = true;
         mg.returned_parts += 1;
         if (part.step == mg.step) mg.weight_in += part.weight;
@@ -485,11 +488,11 @@
   // Where no hints come, a part's cost is the lower quartile of what an otherwise idle replica took for it.
   void learn_work(OpType& op, const SendRecord& s, const Part& part, Duration elapsed) {
     if (!s.alone || part.step > 1) return;
-    const double work = std::max(micros(elapsed) - call_cost, 1000.0);
+    const double work = std::max(to_micros(elapsed) - call_cost, 1000.0);
     op.part_work *= work < op.part_work ? 0.95 : 1.0167;
   }
 
-  void client_left(const Rid& id) {
+  void on_client_left(const RequestId& id) {
     const int place = multigets.find(id);
     if (place >= 0 && !multigets.at(place).closed) close(place, false);
   }
@@ -515,7 +518,7 @@
     mg.closed = true;
     if (mg.admitted && mg.expected > 0) {
       double& stretch = type_of(mg).stretch;
-      const double ratio = micros(now - mg.taken) / mg.expected;
+      const double ratio = to_micros(now - mg.taken) / mg.expected;
       stretch = std::clamp(stretch * std::pow(std::clamp(ratio / stretch, 0.2, 5.0), kStretchGain), 0.2, 5.0);
     }
     abandon(mg);
@@ -539,35 +542,35 @@
       Multiget& mg = multigets.at(place);
       for (int p = mg.first_part; p >= 0;) {
         const int next = parts.at(p).next;
-        parts.give_back(p);
+        parts.erase(p);
         p = next;
       }
       hand.erase(std::find(hand.begin(), hand.end(), place));
-      multigets.give_back(place);
+      multigets.erase(place);
     }
     released.clear();
   }
 
   // Rules 1, 2 and 5: every final answer passes here, once.
-  Verdict finish(int place, Ending ending, bool whole, Duration come_back) {
+  ReplyDecision finish(int place, MultigetOutcome ending, bool whole, Duration come_back) {
     Multiget& mg = multigets.at(place);
     const OpType& op = type_of(mg);
-    if (ending != Ending::answer) {
+    if (ending != MultigetOutcome::answer) {
       // A push-back promises that trying again is harmless.
       bool harmless = true;
-      if (op.repeat == Repeat::non_retriable) {
+      if (op.repeat == RetryClass::non_retriable) {
         for (int p = mg.first_part; p >= 0; p = parts.at(p).next) {
           const Part& part = parts.at(p);
           for (int i = 0; i < part.sent; ++i) harmless &= !part.send(i).may_have_run;
         }
       }
-      ending = harmless ? Ending::push_back : Ending::fail;
+      ending = harmless ? MultigetOutcome::push_back : MultigetOutcome::fail;
       whole = false;
       if (!contract.flag("limits.retry-after", false) || !harmless) come_back = Duration::zero();
-      come_back = std::min(come_back, contract.time("limits.max-retry-after", 0s));
+      come_back = std::min(come_back, contract.duration("limits.max-retry-after", 0s));
     }
-    const bool second_step_follows = ending == Ending::answer && mg.step == 1 && op.second_step > 0;
-    Verdict verdict{mg.id, ending, whole, come_back};
+    const bool second_step_follows = ending == MultigetOutcome::answer && mg.step == 1 && op.second_step > 0;
+    ReplyDecision verdict{mg.id, ending, whole, come_back};
     if (second_step_follows) {
       mg.first_step_whole = whole;
       mg.step = 2;
@@ -575,12 +578,12 @@
       mg.awaited = std::min(op.second_step, mg.returned_parts);
       abandon(mg);
     } else {
-      close(place, ending == Ending::answer);
+      close(place, ending == MultigetOutcome::answer);
     }
     return verdict;
   }
 
-  std::optional<Verdict> next_verdict() {
+  std::optional<ReplyDecision> next_reply() {
     while (verdict_cursor < hand.size()) {
       const int place = hand[verdict_cursor++];
       Multiget& mg = multigets.at(place);
@@ -588,7 +591,7 @@
       const OpType& op = type_of(mg);
       const double need = mg.step == 1 ? op.need : 1.0;
       if (mg.awaited == 0 && mg.weight_in >= need - kRounding) {
-        return finish(place, Ending::answer, mg.step == 1 || mg.first_step_whole, Duration::zero());
+        return finish(place, MultigetOutcome::answer, mg.step == 1 || mg.first_step_whole, Duration::zero());
       }
       const bool late = now >= mg.taken + op.latency_budget;
       const bool closing = now >= mg.taken + op.latency_budget - kGlance - 2 * tick;
@@ -598,9 +601,11 @@
       const bool hopeless =
           possible < std::min(need, op.floor) || (possible < need && floor_in && mg.sends_out == 0);
       if (now >= mg.last_moment || hopeless || (closing && op.partial > 0 && floor_in)) {
-        return finish(place, floor_in ? Ending::answer : Ending::push_back, false, Duration::zero());
+        return finish(place, floor_in ? MultigetOutcome::answer : MultigetOutcome::push_back, false,
+                      Duration::zero());
       }
-      if (late && (op.late_share <= 0 || fleet_pace > 3)) return finish(place, Ending::push_back, false, 0s);
+      if (late && (op.late_share <= 0 || fleet_pace > 3))
+        return finish(place, MultigetOutcome::push_back, false, 0s);
       if (!mg.admitted && mg.awaited == 0) {
         if (looking(mg)) continue;
         mg.expected = expected_time(mg);
@@ -609,7 +614,7 @@
         if (need_us > allowed_time(mg, op)) {
           note = "pushing back: more is asked for than can be finished in time";
           const double wait = std::isfinite(need_us) ? std::max(need_us / 2, 100'000.0) : 500'000.0;
-          return finish(place, Ending::push_back, false, span(std::min(wait, 1e9)));
+          return finish(place, MultigetOutcome::push_back, false, from_micros(std::min(wait, 1e9)));
         }
         mg.admitted = true;
         for (int p = mg.first_part; p >= 0; p = parts.at(p).next) await(p);
@@ -704,7 +709,7 @@
     // What is worth something when late as well may be tried at worse odds.
     const double odds = (kFillCalm + (kFill - kFillCalm) * jam()) * (1 + 2 * op.late_share);
     const double fill = std::clamp(odds * std::pow(density / mean_density, jam() > 0 ? 0.5 : 0.0), 0.25, 2.0);
-    return fill * micros(std::min(op.latency_budget, mg.last_moment - mg.taken));
+    return fill * to_micros(std::min(op.latency_budget, mg.last_moment - mg.taken));
   }
 
   // ---- placement ----
@@ -713,14 +718,14 @@
     if (!r.started) return 1;
     const Duration age = std::max(now - *r.started, Duration::zero());
     if (age >= cold) return 1;
-    return cold_from + (1 - cold_from) * (micros(age) / micros(cold));
+    return cold_from + (1 - cold_from) * (to_micros(age) / to_micros(cold));
   }
 
   double slowness(const Replica& r) const { return r.pace * r.hush / warmth(r); }
 
   // Others' work there; a replica that has not answered yet is expected to take several times as long still.
   double foreign(const Replica& r) const {
-    return r.asked ? std::max(r.foreign, kAtOnce * kSilence * micros(now - *r.asked)) : r.foreign;
+    return r.asked ? std::max(r.foreign, kAtOnce * kSilence * to_micros(now - *r.asked)) : r.foreign;
   }
 
   // How long a send of this cost is expected to take.
@@ -739,11 +744,11 @@
   void holders(const Part& part) {
     candidates.clear();
     const std::uint64_t shard =
-        mix(static_cast<std::uint64_t>(part.shard) * 0x9e3779b97f4a7c15ULL ^ mix(part.key));
+        mix_bits(static_cast<std::uint64_t>(part.shard) * 0x9e3779b97f4a7c15ULL ^ mix_bits(part.key));
     const Multiget& mg = multigets.at(part.multiget);
     for (int j = 0; j < std::min(mg.width, mg.cells); ++j) {
       for (const int i : by_cell[static_cast<std::size_t>((part.shard + j) % mg.cells)])
-        candidates.push_back({i, mix(rep(i).hash ^ shard), 0, 1});
+        candidates.push_back({i, mix_bits(rep(i).hash ^ shard), 0, 1});
     }
     std::sort(candidates.begin(), candidates.end(), [](const Candidate& a, const Candidate& b) {
       return a.rank != b.rank ? a.rank > b.rank : a.replica < b.replica;
@@ -753,12 +758,12 @@
   bool may_repeat(const Part& part, const Multiget& mg) const {
     if (part.sent >= most_sends) return false;
     const OpType& op = type_of(mg);
-    if (op.repeat == Repeat::retriable) return true;
+    if (op.repeat == RetryClass::retriable) return true;
     for (int i = 0; i < part.sent; ++i) {
       const SendRecord& s = part.send(i);
       if (!s.may_have_run) continue;
       // A send may wait so long for its connection, and has to leave inside the window all the same.
-      if (op.repeat == Repeat::non_retriable || now > s.at + op.dedupe_window - connecting) return false;
+      if (op.repeat == RetryClass::non_retriable || now > s.at + op.dedupe_window - connecting) return false;
     }
     return true;
   }
@@ -775,7 +780,7 @@
 
   // Rules 3 and 4: and then here, by server.
   bool may_take(const Part& part, Replica& r) {
-    return r.standing == Standing::up && cold_allows(r, part.cost + (r.call_parts == 0 ? call_cost : 0));
+    return r.standing == ServerStatus::up && cold_allows(r, part.cost + (r.call_parts == 0 ? call_cost : 0));
   }
 
   // The stated budget for further sends, or the module's own for second copies where none is stated; counted
@@ -783,7 +788,7 @@
   // with many parts a multiget and few multigets a gatherer, that kept failed parts waiting until the end.
   bool further_allowed(bool copy) const {
     if (!budgeted && !copy) return true;
-    const WindowCount& made = budgeted ? further : copied;
+    const SlidingWindowCounter& made = budgeted ? further : copied;
     return made.at_most(now) + 1 <= further_free + further_share * taken.at_least(now);
   }
 
@@ -797,15 +802,15 @@
     double sent = 0;
     for (const auto& [at, work] : r.cold_sends) sent += work > 0 && now - at <= cold_window ? work : 0;
     // What others of its size carry for this gatherer, or its share of the one core that every replica has.
-    const double flow = warm_flow * fade(now - flow_at, kFlowMemory) / seconds(kFlowMemory);
+    const double flow = warm_flow * exponential_decay(now - flow_at, kFlowMemory) / to_seconds(kFlowMemory);
     if (warm_counted_at != now) {
       warm_counted_at = now;
       warm_ones = static_cast<double>(std::count_if(replicas.begin(), replicas.end(), [&](const Replica& o) {
-        return o.standing == Standing::up && warmth(o) >= 1;
+        return o.standing == ServerStatus::up && warmth(o) >= 1;
       }));
     }
     const double carried = std::max(flow / std::max(warm_ones, 1.0), 1e6 / peers);
-    const double room = cold_multiple * warm * carried * seconds(cold_window);
+    const double room = cold_multiple * warm * carried * to_seconds(cold_window);
     if (sent > 0 || cost <= room) return sent + cost <= room;
     return saved_share(r, cost, room) >= cost;
   }
@@ -847,7 +852,7 @@
   int choose(const Part& part) {
     holders(part);
     const Multiget& mg = multigets.at(part.multiget);
-    const double trust = type_of(mg).repeat == Repeat::retriable ? 0.4 : 0.9;
+    const double trust = type_of(mg).repeat == RetryClass::retriable ? 0.4 : 0.9;
     std::erase_if(candidates, [&](const Candidate& c) { return !may_take(part, rep(c.replica)); });
     if (candidates.empty()) return -1;
     const auto tried = [&](const Candidate& c) {
@@ -922,7 +927,7 @@
     had_of(part.shard, to) += had_unit;
     // Nor is it begun behind another's frame when the window of an earlier one that may have run is over.
     Duration begun_by = mg.last_moment;
-    for (int i = 0; i + 1 < part.sent && type_of(mg).repeat == Repeat::deduped; ++i)
+    for (int i = 0; i + 1 < part.sent && type_of(mg).repeat == RetryClass::deduped; ++i)
       if (part.send(i).may_have_run)
         begun_by = std::min(begun_by, part.send(i).at + type_of(mg).dedupe_window);
     plan.push_back({part.id, r.server, mg.last_moment, begun_by});
@@ -942,7 +947,7 @@
           SendRecord& s = part.send(i);
           if (!s.out || s.withdrawn) continue;
           Replica& r = rep(s.replica);
-          const double over = micros(now - s.at) / std::max(s.expect, 1.0);
+          const double over = to_micros(now - s.at) / std::max(s.expect, 1.0);
           if (over > 1.5) {
             r.hush = std::max(r.hush, over);
             touched.push_back(s.replica);
@@ -963,7 +968,7 @@
       r.asked = now;
       looks.push_back(replica);
     }
-    return r.asked && now - *r.asked >= std::max(kSilent, span(kSilence * look_time));
+    return r.asked && now - *r.asked >= std::max(kSilent, from_micros(kSilence * look_time));
   }
 
   void want_copies() {
@@ -974,7 +979,7 @@
         Part& part = parts.at(p);
         if (part.returned || part.pending || part.step != mg.step || part.sent == 0) continue;
         const SendRecord& last = part.sends[static_cast<std::size_t>(part.sent - 1)];
-        const double waited = micros(now - last.at);
+        const double waited = to_micros(now - last.at);
         if (!last.out || waited < (copies ? kOverdue : kDoubted) * last.expect || !may_repeat(part, mg))
           continue;
         if (part.out() > 1) {
@@ -1017,7 +1022,7 @@
     pending.resize(kept);
     want_copies();
     // Newer parts count more instead of older ones less; only their ratios are used.
-    had_unit /= fade(now - had_at, kShardMemory);
+    had_unit /= exponential_decay(now - had_at, kShardMemory);
     had_at = now;
     if (had_unit > 1e100) {
       for (double& h : had) h /= had_unit;
@@ -1032,9 +1037,9 @@
     }
   }
 
-  std::optional<Withdrawal> next_withdrawal() {
+  std::optional<SendCancellation> next_cancellation() {
     if (withdrawals.empty()) return std::nullopt;
-    const Withdrawal w = withdrawals.back();
+    const SendCancellation w = withdrawals.back();
     withdrawals.pop_back();
     return w;
   }
@@ -1046,19 +1051,19 @@
   }
 
   std::optional<ListCall> next_list_call() {
-    if (contract.word("registry-mode", "push") != "ask" || watching || now < ask_from) return std::nullopt;
-    if (asked_at && now - *asked_at < contract.time("contract.ask-every", 10s) / 2) return std::nullopt;
+    if (contract.text("registry-mode", "push") != "ask" || watching || now < ask_from) return std::nullopt;
+    if (asked_at && now - *asked_at < contract.duration("contract.ask-every", 10s) / 2) return std::nullopt;
     asked_at = now;
     return ListCall::watch;
   }
 
-  std::optional<std::string> next_note() {
+  std::optional<std::string> next_log_message() {
     if (now - noted_at < 5s) note.reset();
     if (note) noted_at = now;
     return std::exchange(note, std::nullopt);
   }
 
-  std::optional<Duration> next_wake() {
+  std::optional<Duration> next_wake_delay() {
     Duration want = now + (hand.empty() ? Duration(200ms) : kGlance);
     if (!watching && ask_from > now) want = std::min(want, ask_from);
     if (wake_set && *wake_set <= want) return std::nullopt;
@@ -1066,7 +1071,7 @@
     return want - now;
   }
 
-  Contract contract;
+  SettingsReader contract;
   std::mt19937 chance;
   std::vector<OpType> op_types;
   std::vector<Customer> customers;
@@ -1077,17 +1082,17 @@
   Duration tick{}, connecting{}, cold{}, cold_window{}, warm_counted_at = Duration::min() / 2;
   double cold_from = 1, cold_multiple = 1, warm_ones = 0, further_free = 0, further_share = 0;
   bool copies = false, cancels = false, budgeted = false, by_work = false;
-  double crossing = 0;  // load that crossing zones adds, by the part's cost
-  WindowCount taken;    // multigets and parts
-  WindowCount further;  // sends beyond each part's first
-  WindowCount copied;   // and those while another was out
-  Slab<Multiget> multigets;
-  Slab<Part> parts;
+  double crossing = 0;           // load that crossing zones adds, by the part's cost
+  SlidingWindowCounter taken;    // multigets and parts
+  SlidingWindowCounter further;  // sends beyond each part's first
+  SlidingWindowCounter copied;   // and those while another was out
+  SlotMap<Multiget> multigets;
+  SlotMap<Part> parts;
   std::vector<int> hand;  // multigets in the order of their arrival
   std::vector<int> released, pending, looks;
   std::vector<int> touched;  // replicas whose state of this turn is to be cleared
   std::vector<Send> plan;
-  std::vector<Withdrawal> withdrawals;
+  std::vector<SendCancellation> withdrawals;
   std::vector<Candidate> candidates;
   std::vector<std::pair<double, double>> times;  // of a multiget's parts, and their weights
   std::vector<Replica> replicas;
@@ -1116,37 +1121,42 @@
   std::optional<std::string> note;
 };
 
-Choice::Choice(const Terms& terms, std::uint32_t seed) : mind_(std::make_unique<Mind>(terms, seed)) {}
-Choice::~Choice() = default;
-Choice::Choice(Choice&&) noexcept = default;
-Choice& Choice::operator=(Choice&&) noexcept = default;
+DecisionEngine::DecisionEngine(const FlatSettings& terms, std::uint32_t seed)
+    : impl_(std::make_unique<Impl>(terms, seed)) {}
+DecisionEngine::~DecisionEngine() = default;
+DecisionEngine::DecisionEngine(DecisionEngine&&) noexcept = default;
+DecisionEngine& DecisionEngine::operator=(DecisionEngine&&) noexcept = default;
 
-void Choice::renew(const Terms& terms) {
-  Mind(terms, 0);  // refuses what makes no sense before anything changes
-  mind_->renew(terms);
+void DecisionEngine::update_settings(const FlatSettings& terms) {
+  Impl(terms, 0);  // refuses what makes no sense before anything changes
+  impl_->update_settings(terms);
 }
 
-void Choice::clock(Duration now) { mind_->clock(now); }
-void Choice::list_opens(bool whole, bool remembered) { mind_->list_opens(whole, remembered); }
-void Choice::list_row(const ListRow& row) { mind_->list_row(row); }
-void Choice::list_closes() { mind_->list_closes(); }
-void Choice::list_refused(Duration most_backoff) { mind_->list_refused(most_backoff); }
-void Choice::multiget_taken(const MultigetAsk& ask) { mind_->multiget_taken(ask); }
-void Choice::part_taken(const PartAsk& ask) { mind_->part_taken(ask); }
-void Choice::send_ended(const Rid& part, int send, Fate fate, Duration elapsed, const LoadReport& load) {
-  mind_->send_ended(part, send, fate, elapsed, load);
+void DecisionEngine::advance_clock(Duration now) { impl_->advance_clock(now); }
+void DecisionEngine::on_list_begin(bool whole, bool remembered) { impl_->on_list_begin(whole, remembered); }
+void DecisionEngine::on_list_entry(const ListEntry& row) { impl_->on_list_entry(row); }
+void DecisionEngine::on_list_complete() { impl_->on_list_complete(); }
+void DecisionEngine::on_list_call_refused(Duration most_backoff) {
+  impl_->on_list_call_refused(most_backoff);
 }
-void Choice::client_left(const Rid& multiget) { mind_->client_left(multiget); }
-std::optional<Verdict> Choice::next_verdict() { return mind_->next_verdict(); }
-std::optional<Withdrawal> Choice::next_withdrawal() { return mind_->next_withdrawal(); }
-std::optional<Send> Choice::next_send() { return mind_->next_send(); }
-void Choice::probe_ended(std::string_view server, Fate fate, Duration elapsed, const LoadReport& load) {
-  mind_->probe_ended(server, fate, elapsed, load);
+void DecisionEngine::on_multiget_received(const MultigetRequest& ask) { impl_->on_multiget_received(ask); }
+void DecisionEngine::on_part_received(const PartRequest& ask) { impl_->on_part_received(ask); }
+void DecisionEngine::on_send_ended(const RequestId& part, int send, SendOutcome fate, Duration elapsed,
+                                   const LoadReport& load) {
+  impl_->on_send_ended(part, send, fate, elapsed, load);
 }
-std::optional<std::string_view> Choice::next_probe() { return mind_->next_probe(); }
-std::optional<ListCall> Choice::next_list_call() { return mind_->next_list_call(); }
-std::optional<std::string> Choice::next_note() { return mind_->next_note(); }
-std::optional<Duration> Choice::next_wake() { return mind_->next_wake(); }
-std::size_t Choice::servers_known() const { return mind_->by_server.size(); }
+void DecisionEngine::on_client_left(const RequestId& multiget) { impl_->on_client_left(multiget); }
+std::optional<ReplyDecision> DecisionEngine::next_reply() { return impl_->next_reply(); }
+std::optional<SendCancellation> DecisionEngine::next_cancellation() { return impl_->next_cancellation(); }
+std::optional<Send> DecisionEngine::next_send() { return impl_->next_send(); }
+void DecisionEngine::on_probe_ended(std::string_view server, SendOutcome fate, Duration elapsed,
+                                    const LoadReport& load) {
+  impl_->on_probe_ended(server, fate, elapsed, load);
+}
+std::optional<std::string_view> DecisionEngine::next_probe() { return impl_->next_probe(); }
+std::optional<ListCall> DecisionEngine::next_list_call() { return impl_->next_list_call(); }
+std::optional<std::string> DecisionEngine::next_log_message() { return impl_->next_log_message(); }
+std::optional<Duration> DecisionEngine::next_wake_delay() { return impl_->next_wake_delay(); }
+std::size_t DecisionEngine::known_server_count() const { return impl_->by_server.size(); }
 
 }  // namespace marbledyke
--- a/src/command/check.cpp
+++ b/src/command/check.cpp
@@ -24,7 +24,7 @@
   const std::string text((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
   try {
     const config::Commission commission = config::read_commission(text);
-    Choice(commission.terms, commission.seed);
+    DecisionEngine(commission.terms, commission.seed);
     if (commission.known.is_object()) list::read_news(commission.known, commission.carriage, {});
     std::cout << path << ": good" << std::endl;
     return true;
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -69,7 +69,7 @@
   config::Commission out = config::read_commission_file();
   if (out.settings_file.empty()) return out;
   try {
-    Choice(out.terms, out.seed);
+    DecisionEngine(out.terms, out.seed);
   } catch (const std::invalid_argument& wrong) {
     throw config::BadInput(out.settings_file + ": settings." + wrong.what());
   }
--- a/src/command/serve.h
+++ b/src/command/serve.h
@@ -22,6 +22,6 @@
 };
 
 // Until SIGTERM or SIGINT; gives the exit status.
-int serve(const ServeOptions& options, const TimeSource& clock = machine_clock());
+int serve(const ServeOptions& options, const TimeSource& clock = system_time_source());
 
 }  // namespace marbledyke::command
--- a/src/config/commission.cpp
+++ b/src/config/commission.cpp
@@ -32,12 +32,12 @@
 // The settings under the names they are given by; each must be there, in its type and its range.
 class Reader {
  public:
-  explicit Reader(const Terms& terms) : contract_(terms) {}
+  explicit Reader(const FlatSettings& terms) : contract_(terms) {}
 
   double number(const std::string& name, double least, double most) const {
-    if (!contract_.has(name)) Contract::refuse(name, "missing");
+    if (!contract_.has(name)) SettingsReader::reject(name, "missing");
     const double value = contract_.at_least(name, 0, least);
-    if (value > most) Contract::refuse(name, "is too large");
+    if (value > most) SettingsReader::reject(name, "is too large");
     return value;
   }
   int count(const std::string& name, double least = 1, double most = 1e6) const {
@@ -49,23 +49,23 @@
   bool has(const std::string& name) const { return contract_.has(name); }
   bool flag(const std::string& name) const { return contract_.flag(name, false); }
   std::string word(const std::string& name) const {
-    if (!contract_.has(name)) Contract::refuse(name, "missing");
-    return contract_.word(name, "");
+    if (!contract_.has(name)) SettingsReader::reject(name, "missing");
+    return contract_.text(name, "");
   }
   std::vector<std::string> words(const std::string& list, const std::string& field) const {
     std::vector<std::string> out;
     for (;;) {
       const std::string name = list + "." + std::to_string(out.size()) + field;
       if (!contract_.has(name)) return out;
-      out.push_back(contract_.word(name, ""));
+      out.push_back(contract_.text(name, ""));
     }
   }
 
  private:
-  Contract contract_;
+  SettingsReader contract_;
 };
 
-Carriage read_carriage(const Terms& terms) {
+Carriage read_carriage(const FlatSettings& terms) {
   const Reader read(terms);
   Carriage out;
   for (int i = 0;; ++i) {
@@ -82,18 +82,20 @@
                             read.has(at + "worth") ? read.number(at + "worth", 0, 1e300) : 1.0});
     const std::string need = "specifics.complete-from." + std::to_string(i);
     if (out.op_types.back().floor > (read.has(need) ? read.number(need, 0, 1) : 1.0))
-      Contract::refuse("specifics.class-floor." + std::to_string(i), "is above what a whole answer needs");
+      SettingsReader::reject("specifics.class-floor." + std::to_string(i),
+                             "is above what a whole answer needs");
     const Duration timeout = read.time(at + "deadline");
     out.longest_timeout = std::max(out.longest_timeout, timeout);
     const Duration budget = read.has(at + "objective") ? read.time(at + "objective") : timeout;
     out.op_types.back().budget = std::min(budget, timeout);
     out.longest_budget = std::max(out.longest_budget, out.op_types.back().budget);
   }
-  if (out.op_types.empty()) Contract::refuse("categories", "missing");
+  if (out.op_types.empty()) SettingsReader::reject("categories", "missing");
   out.customers = read.words("customers", ".name");
   out.zones = read.words("zones", "");
   out.report_fields = read.words("telemetry.fields", "");
-  if (out.report_fields.size() > LoadReport{}.value.size()) Contract::refuse("telemetry.fields", "too many");
+  if (out.report_fields.size() > LoadReport{}.values.size())
+    SettingsReader::reject("telemetry.fields", "too many");
   out.shards = read.count("specifics.slabs");
   out.cells = read.count("specifics.sets");
   out.parts_a_call = read.count("specifics.bundle-max", 1, 1024);
@@ -150,7 +152,7 @@
     throw BadInput(where + "settings." + wrong.what());
   }
   out.log_level = log_level();
-  out.digest = hash_text(text_of_it);
+  out.digest = hash_string(text_of_it);
   return out;
 }
 
--- a/src/config/commission.h
+++ b/src/config/commission.h
@@ -55,7 +55,7 @@
   int sockets = 0;
   log::Level log_level = log::Level::info;
   json known;  // the list as last held, in discovery's form; null: none
-  Terms terms;
+  FlatSettings terms;
   Carriage carriage;
   std::uint64_t digest = 0;  // of the text it was read from
   // The revision of the fleet's settings that `terms` are from; 0: the configuration's own. None: this
--- a/src/config/fields.cpp
+++ b/src/config/fields.cpp
@@ -56,7 +56,7 @@
   return value;
 }
 
-void flatten(const json& value, const std::string& name, Terms& into) {
+void flatten(const json& value, const std::string& name, FlatSettings& into) {
   const std::string prefix = name.empty() ? name : name + ".";
   if (value.is_object()) {
     for (const auto& [key, inner] : value.items()) flatten(inner, prefix + key, into);
--- a/src/config/fields.h
+++ b/src/config/fields.h
@@ -31,6 +31,6 @@
 const json& object(const json& from, const char* field);
 
 // Nested settings as a plain map: names with dots between levels, list places as numbers.
-void flatten(const json& value, const std::string& name, Terms& into);
+void flatten(const json& value, const std::string& name, FlatSettings& into);
 
 }  // namespace marbledyke::config
--- a/src/distribution/main.cpp
+++ b/src/distribution/main.cpp
@@ -3,5 +3,5 @@
 
 int main(int count, char** words) {
   static marbledyke::disk::LocalDisk disk;
-  return marbledyke::distribution::run(count, words, disk, marbledyke::machine_clock());
+  return marbledyke::distribution::run(count, words, disk, marbledyke::system_time_source());
 }
--- a/src/emulator/clients.cpp
+++ b/src/emulator/clients.cpp
@@ -23,7 +23,7 @@
 }
 
 Second& Clients::second(Duration now) {
-  return result_.seconds[std::min(result_.seconds.size() - 1, static_cast<std::size_t>(seconds(now)))];
+  return result_.seconds[std::min(result_.seconds.size() - 1, static_cast<std::size_t>(to_seconds(now)))];
 }
 
 std::uint32_t Clients::asks(Duration now) {
@@ -104,7 +104,7 @@
   // A failed multiget of a non-retriable kind may have run: nobody asks for it again.
   const bool may = pushed_back || op_of(i).effect == Effect::retriable;
   if (may && client.tries <= std::min(s_.load.retries, kMostRetriesKept)) {
-    const double wait = seconds(s_.load.backoff) * std::pow(2.0, client.tries - 1);
+    const double wait = to_seconds(s_.load.backoff) * std::pow(2.0, client.tries - 1);
     return std::max(come_back, span_of(wait * std::uniform_real_distribution<double>(0.5, 1.5)(chance_)));
   }
   if (client.counted) (pushed_back ? result_.pushed_back : result_.failed) += 1;
@@ -120,7 +120,7 @@
 
 void Clients::finish() {
   result_.goodput = asked_worth_ > 0 ? good_worth_ / asked_worth_ : 0;
-  result_.good_rate = static_cast<double>(result_.good) / seconds(s_.length - s_.settle);
+  result_.good_rate = static_cast<double>(result_.good) / to_seconds(s_.length - s_.settle);
   std::sort(took_.begin(), took_.end());
   const auto quantile = [&](double q) {
     return took_.empty() ? Duration{}
--- a/src/emulator/policy.cpp
+++ b/src/emulator/policy.cpp
@@ -15,34 +15,36 @@
 
 class Module final : public Policy {
  public:
-  Module(const Terms& terms, std::uint32_t seed) : choice_(terms, seed) {}
-  void clock(Duration now) override { choice_.clock(now); }
-  void list_opens(bool whole, bool remembered) override { choice_.list_opens(whole, remembered); }
-  void list_row(const ListRow& row) override { choice_.list_row(row); }
-  void list_closes() override { choice_.list_closes(); }
-  void list_refused(Duration most_backoff) override { choice_.list_refused(most_backoff); }
-  void multiget_taken(const MultigetAsk& ask) override { choice_.multiget_taken(ask); }
-  void part_taken(const PartAsk& ask) override { choice_.part_taken(ask); }
-  void send_ended(const Rid& part, int send, Fate fate, Duration elapsed, const LoadReport& load) override {
-    choice_.send_ended(part, send, fate, elapsed, load);
+  Module(const FlatSettings& terms, std::uint32_t seed) : choice_(terms, seed) {}
+  void clock(Duration now) override { choice_.advance_clock(now); }
+  void list_opens(bool whole, bool remembered) override { choice_.on_list_begin(whole, remembered); }
+  void list_row(const ListEntry& row) override { choice_.on_list_entry(row); }
+  void list_closes() override { choice_.on_list_complete(); }
+  void list_refused(Duration most_backoff) override { choice_.on_list_call_refused(most_backoff); }
+  void multiget_taken(const MultigetRequest& ask) override { choice_.on_multiget_received(ask); }
+  void part_taken(const PartRequest& ask) override { choice_.on_part_received(ask); }
+  void send_ended(const RequestId& part, int send, SendOutcome fate, Duration elapsed,
+                  const LoadReport& load) override {
+    choice_.on_send_ended(part, send, fate, elapsed, load);
   }
-  void probe_ended(std::string_view server, Fate fate, Duration elapsed, const LoadReport& load) override {
-    choice_.probe_ended(server, fate, elapsed, load);
+  void probe_ended(std::string_view server, SendOutcome fate, Duration elapsed,
+                   const LoadReport& load) override {
+    choice_.on_probe_ended(server, fate, elapsed, load);
   }
-  void client_left(const Rid& multiget) override { choice_.client_left(multiget); }
-  std::optional<Verdict> next_verdict() override { return choice_.next_verdict(); }
-  std::optional<Withdrawal> next_withdrawal() override { return choice_.next_withdrawal(); }
+  void client_left(const RequestId& multiget) override { choice_.on_client_left(multiget); }
+  std::optional<ReplyDecision> next_verdict() override { return choice_.next_reply(); }
+  std::optional<SendCancellation> next_withdrawal() override { return choice_.next_cancellation(); }
   std::optional<Send> next_send() override { return choice_.next_send(); }
   std::optional<std::string_view> next_probe() override { return choice_.next_probe(); }
   std::optional<ListCall> next_list_call() override { return choice_.next_list_call(); }
   std::optional<Duration> next_wake() override {
-    while (choice_.next_note()) {
+    while (choice_.next_log_message()) {
     }
-    return choice_.next_wake();
+    return choice_.next_wake_delay();
   }
 
  private:
-  Choice choice_;
+  DecisionEngine choice_;
 };
 
 enum class Way { random, round_robin, least_in_flight, two_choices, bare_design };
@@ -51,10 +53,11 @@
 // of cold servers, budgets of further sends or overload.
 class Baseline final : public Policy {
  public:
-  Baseline(Way way, const Terms& terms, std::uint32_t seed) : way_(way), contract_(terms), chance_(seed) {
+  Baseline(Way way, const FlatSettings& terms, std::uint32_t seed)
+      : way_(way), contract_(terms), chance_(seed) {
     for (int i = 0; contract_.has("categories." + std::to_string(i) + ".deadline"); ++i) {
       const std::string at = "categories." + std::to_string(i) + ".";
-      ops_.push_back({contract_.word(at + "effect", "once") == "repeatable",
+      ops_.push_back({contract_.text(at + "effect", "once") == "repeatable",
                       contract_.share("specifics.complete-from." + std::to_string(i), 1)});
     }
     most_sends_ = static_cast<int>(contract_.number("limits.attempts-cap", 1));
@@ -67,7 +70,7 @@
     if (!whole) return;
     servers_.clear();
   }
-  void list_row(const ListRow& row) override {
+  void list_row(const ListEntry& row) override {
     Server& server = servers_[row.server];
     server.row = row;
     server.hash = mix(std::hash<std::string_view>{}(row.server) * 3 + 1);
@@ -75,31 +78,31 @@
   void list_closes() override {
     for (auto& cell : by_cell_) cell.clear();
     for (auto& [name, server] : servers_) {
-      if (server.row.standing == Standing::up)
+      if (server.row.status == ServerStatus::up)
         by_cell_[static_cast<std::size_t>(std::clamp(server.row.cell, 0, cells_ - 1))].push_back(&server);
     }
     watching_ = asked_;  // the list of the start is a remembered one
   }
   void list_refused(Duration) override { watching_ = asked_ = false; }
 
-  void multiget_taken(const MultigetAsk& ask) override {
+  void multiget_taken(const MultigetRequest& ask) override {
     Multiget& mg = multigets_[ask.id];
     mg.op = ask.op_type;
-    mg.until = ask.client_leaves - 20ms;
-    mg.awaited = ask.parts;
+    mg.until = ask.client_deadline - 20ms;
+    mg.awaited = ask.part_count;
   }
-  void part_taken(const PartAsk& ask) override {
-    Rid whole = ask.id;
+  void part_taken(const PartRequest& ask) override {
+    RequestId whole = ask.id;
     std::fill_n(whole.text.begin() + 12, 4, '0');
     Multiget& mg = multigets_[whole];
     Part part;
     part.shard = ask.shard;
-    part.cost = ask.hint > 0us ? static_cast<double>(ask.hint.count()) : 1000;
+    part.cost = ask.cost_hint > 0us ? static_cast<double>(ask.cost_hint.count()) : 1000;
     mg.parts.emplace(ask.id, part);
     waiting_.push_back({whole, ask.id});
   }
-  void send_ended(const Rid& id, int send, Fate fate, Duration, const LoadReport&) override {
-    Rid whole = id;
+  void send_ended(const RequestId& id, int send, SendOutcome fate, Duration, const LoadReport&) override {
+    RequestId whole = id;
     std::fill_n(whole.text.begin() + 12, 4, '0');
     const auto at = multigets_.find(whole);
     const auto out = out_.find({id, send});
@@ -111,11 +114,12 @@
     if (at == multigets_.end()) return;
     Multiget& mg = at->second;
     Part& part = mg.parts.at(id);
-    if (fate == Fate::returned && !part.in) {
+    if (fate == SendOutcome::returned && !part.in) {
       part.in = true;
       mg.in += 1;
-    } else if (fate != Fate::returned && fate != Fate::revoked && !part.in) {
-      const bool never = fate == Fate::pushed_back || fate == Fate::dial_failed || fate == Fate::unused;
+    } else if (fate != SendOutcome::returned && fate != SendOutcome::revoked && !part.in) {
+      const bool never =
+          fate == SendOutcome::pushed_back || fate == SendOutcome::dial_failed || fate == SendOutcome::unused;
       part.may_have_run = part.may_have_run || !never;
       const bool may = ops_[static_cast<std::size_t>(mg.op)].repeats || !part.may_have_run;
       if (may && part.sent < most_sends_ && now_ < mg.until) {
@@ -127,12 +131,12 @@
     }
     changed_.push_back(whole);
   }
-  void probe_ended(std::string_view, Fate, Duration, const LoadReport&) override {}
-  void client_left(const Rid& id) override { multigets_.erase(id); }
+  void probe_ended(std::string_view, SendOutcome, Duration, const LoadReport&) override {}
+  void client_left(const RequestId& id) override { multigets_.erase(id); }
 
-  std::optional<Verdict> next_verdict() override {
+  std::optional<ReplyDecision> next_verdict() override {
     while (!changed_.empty()) {
-      const Rid id = changed_.back();
+      const RequestId id = changed_.back();
       changed_.pop_back();
       const auto at = multigets_.find(id);
       if (at == multigets_.end()) continue;
@@ -141,7 +145,7 @@
       if (share >= ops_[static_cast<std::size_t>(mg.op)].need &&
           mg.awaited == static_cast<int>(mg.parts.size())) {
         multigets_.erase(at);
-        return Verdict{id, Ending::answer, true, {}};
+        return ReplyDecision{id, MultigetOutcome::answer, true, {}};
       }
       if (mg.failed) return give_up(at);
     }
@@ -150,7 +154,7 @@
     }
     return std::nullopt;
   }
-  std::optional<Withdrawal> next_withdrawal() override { return std::nullopt; }
+  std::optional<SendCancellation> next_withdrawal() override { return std::nullopt; }
   std::optional<Send> next_send() override {
     while (!waiting_.empty()) {
       if (way_ == Way::bare_design && !sorted_) {
@@ -201,7 +205,7 @@
     double need = 1;
   };
   struct Server {
-    ListRow row;
+    ListEntry row;
     std::uint64_t hash = 0;
     double in_flight = 0, recent = 0;
     Duration recent_at{};
@@ -216,30 +220,30 @@
     int op = 0, awaited = 0, in = 0;
     bool failed = false;
     Duration until{};
-    std::map<Rid, Part> parts;
+    std::map<RequestId, Part> parts;
   };
-  using Waiting = std::deque<std::pair<Rid, Rid>>;
+  using Waiting = std::deque<std::pair<RequestId, RequestId>>;
 
   static std::uint64_t mix(std::uint64_t x) {
     x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
     x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
     return x ^ (x >> 31);
   }
-  double cost(const std::pair<Rid, Rid>& one) {
+  double cost(const std::pair<RequestId, RequestId>& one) {
     const auto at = multigets_.find(one.first);
     return at == multigets_.end() ? 0 : at->second.parts.at(one.second).cost;
   }
   double recent(const Server& server) const {
     return server.recent * std::exp(-std::chrono::duration<double>(now_ - server.recent_at).count());
   }
-  Verdict give_up(std::map<Rid, Multiget>::iterator at) {
+  ReplyDecision give_up(std::map<RequestId, Multiget>::iterator at) {
     const bool harmless = ops_[static_cast<std::size_t>(at->second.op)].repeats ||
                           std::none_of(at->second.parts.begin(), at->second.parts.end(), [](const auto& one) {
                             return one.second.may_have_run || (one.second.sent > 0 && !one.second.given_up);
                           });
-    const Rid id = at->first;
+    const RequestId id = at->first;
     multigets_.erase(at);
-    return {id, harmless ? Ending::push_back : Ending::fail, false, {}};
+    return {id, harmless ? MultigetOutcome::push_back : MultigetOutcome::fail, false, {}};
   }
 
   Server* pick(const Part& part) {
@@ -279,7 +283,7 @@
   }
 
   Way way_;
-  Contract contract_;
+  SettingsReader contract_;
   std::mt19937 chance_;
   std::vector<Op> ops_;
   int most_sends_ = 1, cells_ = 1;
@@ -288,10 +292,10 @@
   std::size_t next_ = 0;
   std::map<std::string, Server, std::less<>> servers_;
   std::vector<std::vector<Server*>> by_cell_;
-  std::map<Rid, Multiget> multigets_;
-  std::map<std::pair<Rid, int>, std::pair<std::string, double>> out_;
+  std::map<RequestId, Multiget> multigets_;
+  std::map<std::pair<RequestId, int>, std::pair<std::string, double>> out_;
   Waiting waiting_, held_;
-  std::vector<Rid> changed_;
+  std::vector<RequestId> changed_;
 };
 
 }  // namespace
@@ -302,7 +306,7 @@
   return kNames;
 }
 
-std::unique_ptr<Policy> make_policy(const std::string& name, const Terms& terms, std::uint32_t seed) {
+std::unique_ptr<Policy> make_policy(const std::string& name, const FlatSettings& terms, std::uint32_t seed) {
   if (name == "module") return std::make_unique<Module>(terms, seed);
   if (name == "random") return std::make_unique<Baseline>(Way::random, terms, seed);
   if (name == "round-robin") return std::make_unique<Baseline>(Way::round_robin, terms, seed);
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -81,7 +81,7 @@
   int refs = 0;
   int gatherer = 0;
   std::uint32_t gatherer_life = 0;
-  Rid part;
+  RequestId part;
   std::uint32_t number = 0;  // of the multiget at its gatherer
   std::uint64_t multiget = 0;
   int shard = 0, send = 0, server = 0, op = 0;
@@ -91,7 +91,7 @@
   double told_work = 0;  // as gatherers are told
   bool told = false, arrived = false, running = false, queued_now = false, done = false, cancelled = false,
        used = false;
-  Fate fate = Fate::unused;
+  SendOutcome fate = SendOutcome::unused;
 };
 
 struct Connection {
@@ -111,7 +111,7 @@
   std::deque<std::uint32_t> queue;
   double worked = 0;
   std::uint64_t ran = 0;
-  Standing listed = Standing::up;
+  ServerStatus listed = ServerStatus::up;
   std::optional<Duration> listed_start;
 };
 
@@ -147,7 +147,7 @@
   std::vector<std::uint32_t> ended;  // sends whose fate is to be handed over
   struct ProbeEnd {
     int server;
-    Fate fate;
+    SendOutcome fate;
     Duration elapsed;
     LoadReport report;
   };
@@ -206,7 +206,7 @@
 
 struct Change {
   int server = 0;
-  Standing standing = Standing::up;
+  ServerStatus standing = ServerStatus::up;
   std::optional<Duration> started;
 };
 
@@ -221,7 +221,7 @@
         trouble_(options.seed * 2654435761U + 4),
         checker_(rules_of(scenario)),
         clients_(scenario, options.seed * 2654435761U + 5, result_) {
-    const auto length = static_cast<std::size_t>(seconds(s_.length)) + 1;
+    const auto length = static_cast<std::size_t>(to_seconds(s_.length)) + 1;
     result_.seconds.resize(length);
     make_fleet();
     // A keeper has two processes at most; none moves, since events refer to them by reference within a turn.
@@ -301,7 +301,7 @@
       case Kind::probe_arrive:
         return probe_arrives(e.a);
       case Kind::probe_end:
-        return probe_ends(e.a, static_cast<Fate>(e.b));
+        return probe_ends(e.a, static_cast<SendOutcome>(e.b));
       case Kind::fault_begins:
         return fault_begins(e.a);
       case Kind::fault_step:
@@ -309,7 +309,7 @@
       case Kind::fault_ends:
         return strike(s_.faults[e.a], static_cast<int>(e.b), false);
       case Kind::server_listed:
-        return list_changes(static_cast<int>(e.a), static_cast<Standing>(e.b & 3), (e.b >> 2) != 0);
+        return list_changes(static_cast<int>(e.a), static_cast<ServerStatus>(e.b & 3), (e.b >> 2) != 0);
       case Kind::gatherer_back:
         // Killed twice, it is back with the first return.
         if (!gatherers_[e.a].alive) start_gatherer(static_cast<int>(e.a), true);
@@ -366,7 +366,7 @@
 
   double warmth(const ServerState& server) const {
     if (!server.started) return 1;
-    const double age = seconds(now_ - *server.started) / seconds(s_.fleet.cold);
+    const double age = to_seconds(now_ - *server.started) / to_seconds(s_.fleet.cold);
     return age >= 1 ? 1 : s_.fleet.cold_from + (1 - s_.fleet.cold_from) * age;
   }
 
@@ -379,7 +379,7 @@
 
   Duration delay(int gatherer, const ServerState& server) {
     const bool near = gatherers_[static_cast<std::size_t>(gatherer)].zone == server.zone;
-    const double mean = seconds(near ? s_.network.near : s_.network.far);
+    const double mean = to_seconds(near ? s_.network.near : s_.network.far);
     const double drawn = s_.network.jitter > 0 ? std::exponential_distribution<double>(1)(network_) : 0;
     return span_of(mean * (1 - s_.network.jitter + s_.network.jitter * drawn)) +
            machine_of(gatherer).path_delay;
@@ -399,8 +399,8 @@
 
   LoadReport report(const ServerState& server) const {
     LoadReport out;
-    out.value[0] = server.busy;
-    out.value[1] = static_cast<double>(server.queue.size());
+    out.values[0] = server.busy;
+    out.values[1] = static_cast<double>(server.queue.size());
     out.count = 2;
     return out;
   }
@@ -428,7 +428,7 @@
   }
 
   // Gives the send its fate after so long; the first one counts.
-  void tell(std::uint32_t i, Fate fate, Duration after) {
+  void tell(std::uint32_t i, SendOutcome fate, Duration after) {
     SendState& send = sends_[i];
     if (send.done) return;
     send.done = true;
@@ -443,8 +443,8 @@
     Connection& connection =
         gatherers_[static_cast<std::size_t>(g)].connections[static_cast<std::size_t>(send.server)];
     if (first_of_call) {
-      send.work += seconds(s_.fleet.overhead);
-      send.told_work += seconds(s_.fleet.overhead);
+      send.work += to_seconds(s_.fleet.overhead);
+      send.told_work += to_seconds(s_.fleet.overhead);
     }
     keep(i);  // until it is told
     keep(i);
@@ -453,8 +453,8 @@
     if (!connection.open) {
       const bool silent =
           server.vanished || cut_between(g, server) || lost(server.lose_in) || lost(server.lose_out);
-      if (silent) return tell(i, Fate::dial_failed, s_.network.connect_timeout);
-      if (!server.alive) return tell(i, Fate::dial_failed, 2 * way);
+      if (silent) return tell(i, SendOutcome::dial_failed, s_.network.connect_timeout);
+      if (!server.alive) return tell(i, SendOutcome::dial_failed, 2 * way);
       connection.open = true;
       connection.life = server.life;
       connection.heard = now_;
@@ -473,7 +473,7 @@
     const Duration way = delay(send.gatherer, server);
     if (server.vanished) return let_go(i);
     if (!server.alive || server.life != send.server_life) {
-      tell(i, Fate::dropped, way);
+      tell(i, SendOutcome::dropped, way);
       return let_go(i);
     }
     Event event = event_of(What::arrived, send);
@@ -482,10 +482,10 @@
     send.arrived = true;
     if (send.cancelled) return let_go(i);
     if (server.refusing || static_cast<int>(server.queue.size()) >= s_.fleet.queue) {
-      answer(i, Fate::pushed_back, way);
+      answer(i, SendOutcome::pushed_back, way);
     } else if (server.errors > 0 && std::uniform_real_distribution<double>(0, 1)(trouble_) < server.errors) {
       note(event_of(What::began, send));
-      answer(i, Fate::app_error, way);
+      answer(i, SendOutcome::app_error, way);
     } else {
       send.queued = now_;
       send.queued_now = true;
@@ -496,7 +496,7 @@
     let_go(i);
   }
 
-  void answer(std::uint32_t i, Fate fate, Duration way) {
+  void answer(std::uint32_t i, SendOutcome fate, Duration way) {
     ServerState& server = servers_[static_cast<std::size_t>(sends_[i].server)];
     if (server.vanished || cut_between(sends_[i].gatherer, server) || lost(server.lose_out)) return;
     tell(i, fate, way);
@@ -518,11 +518,11 @@
       send.running = true;
       note(event_of(What::began, send));
       if (counts()) {
-        waited_ += seconds(now_ - send.queued);
+        waited_ += to_seconds(now_ - send.queued);
         began_ += 1;
       }
       const double time = send.work * server.slow / warmth(server);
-      const double counted = std::max(0.0, std::min(time, seconds(s_.length - now_)));
+      const double counted = std::max(0.0, std::min(time, to_seconds(s_.length - now_)));
       if (counts()) {
         server.worked += counted;
         worked_ += counted;
@@ -545,7 +545,7 @@
         return;
       }
       server.busy -= 1;
-      answer(i, Fate::returned, delay(send.gatherer, server));
+      answer(i, SendOutcome::returned, delay(send.gatherer, server));
       fill(send.server);
     }
     let_go(i);
@@ -562,7 +562,7 @@
   }
 
   // The gatherer's connection layer learns of a send's end.
-  void ended(std::uint32_t i, Fate fate) {
+  void ended(std::uint32_t i, SendOutcome fate) {
     SendState& send = sends_[i];
     send.told = true;
     send.done = true;
@@ -584,7 +584,7 @@
         // Silent for as long as a connect may take: what comes next goes over a new connection.
         if (connection.heard <= send.written && now_ - send.written >= s_.network.connect_timeout)
           connection.open = false;
-        withdraw(i, now_ < send.written ? Fate::unused : Fate::expired);
+        withdraw(i, now_ < send.written ? SendOutcome::unused : SendOutcome::expired);
       } else {
         send.told = true;  // there is nobody left to be told
         let_go(i);
@@ -593,9 +593,9 @@
     let_go(i);
   }
 
-  void withdraw(std::uint32_t i, Fate fate) {
+  void withdraw(std::uint32_t i, SendOutcome fate) {
     SendState& send = sends_[i];
-    const bool never = fate == Fate::unused;
+    const bool never = fate == SendOutcome::unused;
     if (never) send.cancelled = true;
     ended(i, fate);
     if (never) return;
@@ -641,7 +641,7 @@
     g.version = g.told = changes_.size();
     g.policy->list_opens(true, again);
     for (std::size_t i = 0; i < servers_.size(); ++i) {
-      if (servers_[i].listed != Standing::gone)
+      if (servers_[i].listed != ServerStatus::gone)
         row(g, static_cast<int>(i), servers_[i].listed, servers_[i].listed_start);
     }
     g.policy->list_closes();
@@ -651,18 +651,18 @@
     set_turn(number);
   }
 
-  void row(GathererState& g, int server, Standing standing, std::optional<Duration> started) {
+  void row(GathererState& g, int server, ServerStatus standing, std::optional<Duration> started) {
     const ServerState& of = servers_[static_cast<std::size_t>(server)];
-    ListRow out;
+    ListEntry out;
     out.server = of.name;
     out.zone = of.zone;
     out.cell = of.cell;
-    out.standing = standing;
+    out.status = standing;
     out.started = started;
     g.policy->list_row(out);
   }
 
-  void learned(int gatherer, int server, Standing standing, std::optional<Duration> started) {
+  void learned(int gatherer, int server, ServerStatus standing, std::optional<Duration> started) {
     Event event;
     event.cold = started && started == servers_[static_cast<std::size_t>(server)].started;
     event.what = What::learned;
@@ -684,8 +684,8 @@
     if (g.alive && g.life == life) set_turn(number);
   }
 
-  Rid part_id(std::uint32_t number, std::size_t piece) const {
-    Rid out;
+  RequestId part_id(std::uint32_t number, std::size_t piece) const {
+    RequestId out;
     char digits[17];
     std::snprintf(digits, sizeof digits, "%08x0000%04x", number, static_cast<unsigned>(piece & 0xffff));
     std::copy_n(digits, 16, out.text.begin());
@@ -718,13 +718,14 @@
       InHand& mg = at_hand->second;
       const std::size_t piece = piece_of(send.part);
       mg.out -= 1;
-      if (send.fate == Fate::returned && !mg.over && !mg.pieces[piece].returned) {
+      if (send.fate == SendOutcome::returned && !mg.over && !mg.pieces[piece].returned) {
         mg.pieces[piece].returned = true;
         wasted_ -= send.work;
       }
       policy.send_ended(send.part, send.send, send.fate, now_ - send.pulled,
-                        send.fate == Fate::returned ? report(servers_[static_cast<std::size_t>(send.server)])
-                                                    : LoadReport{});
+                        send.fate == SendOutcome::returned
+                            ? report(servers_[static_cast<std::size_t>(send.server)])
+                            : LoadReport{});
       let_go(i);
       give_back(g, send.number);
     }
@@ -747,7 +748,7 @@
     carry_out(number, g);
   }
 
-  static std::size_t piece_of(const Rid& part) {
+  static std::size_t piece_of(const RequestId& part) {
     std::size_t out = 0;
     std::from_chars(part.text.data() + 12, part.text.data() + 16, out, 16);
     return out - 1;
@@ -778,7 +779,7 @@
       const auto found = out_sends_.find({number, withdrawal->part, withdrawal->send});
       if (found == out_sends_.end()) continue;
       const std::uint32_t i = found->second;
-      if (!sends_[i].told) withdraw(i, now_ < sends_[i].written ? Fate::unused : Fate::revoked);
+      if (!sends_[i].told) withdraw(i, now_ < sends_[i].written ? SendOutcome::unused : SendOutcome::revoked);
     }
     calls_.clear();
     while (const auto pulled = policy.next_send()) {
@@ -801,9 +802,9 @@
       send.op = mg.op;
       send.pulled = now_;
       send.not_past =
-          pulled->not_past > Duration::zero() ? pulled->not_past : clients_.at(mg.client).deadline;
+          pulled->deadline > Duration::zero() ? pulled->deadline : clients_.at(mg.client).deadline;
       send.work = scenario::drawn_work(op, options_.seed, mg.uid, piece);
-      send.told_work = seconds(op.work);
+      send.told_work = to_seconds(op.work);
       mg.out += 1;
       out_sends_[{number, send.part, send.send}] = i;
       note(event_of(What::sent, send));
@@ -822,18 +823,18 @@
       at(now_ + *wake_in, Kind::wake, static_cast<std::uint32_t>(number), g.life);
   }
 
-  void decided(int number, GathererState& g, std::uint32_t n, const Verdict& verdict) {
+  void decided(int number, GathererState& g, std::uint32_t n, const ReplyDecision& verdict) {
     const auto at_hand = g.hand.find(n);
     if (at_hand == g.hand.end() || at_hand->second.over) return;
     InHand& mg = at_hand->second;
     mg.over = true;
     Event event;
-    event.what = verdict.ending == Ending::answer      ? What::answered
-                 : verdict.ending == Ending::push_back ? What::pushed_back
-                                                       : What::failed;
+    event.what = verdict.outcome == MultigetOutcome::answer      ? What::answered
+                 : verdict.outcome == MultigetOutcome::push_back ? What::pushed_back
+                                                                 : What::failed;
     event.gatherer = number;
     event.multiget = mg.uid;
-    event.whole = verdict.whole;
+    event.whole = verdict.complete;
     event.count = static_cast<int>(
         std::count_if(mg.pieces.begin(), mg.pieces.end(), [](const PieceState& p) { return p.returned; }));
     note(event);
@@ -860,11 +861,12 @@
     probes_.push_back({number, server, gatherers_[static_cast<std::size_t>(number)].life, now_, false, {}});
     if (counts()) result_.probes += 1;
     const ServerState& to = servers_[static_cast<std::size_t>(server)];
-    at(now_ + s_.network.connect_timeout, Kind::probe_end, i, static_cast<std::uint64_t>(Fate::expired));
+    at(now_ + s_.network.connect_timeout, Kind::probe_end, i,
+       static_cast<std::uint64_t>(SendOutcome::expired));
     if (to.vanished || cut_between(number, to) || lost(to.lose_in)) return;
     const Duration way = delay(number, to);
     if (!to.alive)
-      return at(now_ + 2 * way, Kind::probe_end, i, static_cast<std::uint64_t>(Fate::dial_failed));
+      return at(now_ + 2 * way, Kind::probe_end, i, static_cast<std::uint64_t>(SendOutcome::dial_failed));
     at(now_ + way, Kind::probe_arrive, i);
   }
 
@@ -872,21 +874,23 @@
     const ServerState& to = servers_[static_cast<std::size_t>(probes_[i].server)];
     if (!to.alive || to.vanished || to.paused || lost(to.lose_out)) return;
     probes_[i].report = report(to);
-    at(now_ + delay(probes_[i].gatherer, to), Kind::probe_end, i, static_cast<std::uint64_t>(Fate::returned));
+    at(now_ + delay(probes_[i].gatherer, to), Kind::probe_end, i,
+       static_cast<std::uint64_t>(SendOutcome::returned));
   }
 
-  void probe_ends(std::uint32_t i, Fate fate) {
+  void probe_ends(std::uint32_t i, SendOutcome fate) {
     Probe& one = probes_[i];
     if (std::exchange(one.over, true)) return;
     GathererState& g = gatherers_[static_cast<std::size_t>(one.gatherer)];
     if (!g.alive || g.life != one.gatherer_life) return;
-    g.probed.push_back({one.server, fate, now_ - one.at, fate == Fate::returned ? one.report : LoadReport{}});
+    g.probed.push_back(
+        {one.server, fate, now_ - one.at, fate == SendOutcome::returned ? one.report : LoadReport{}});
     set_turn(one.gatherer);
   }
 
   // ---- the list ----
 
-  void list_changes(int server, Standing standing, bool cold) {
+  void list_changes(int server, ServerStatus standing, bool cold) {
     ServerState& of = servers_[static_cast<std::size_t>(server)];
     of.listed = standing;
     if (cold) of.listed_start = of.started;
@@ -900,7 +904,7 @@
     GathererState& g = gatherers_[static_cast<std::size_t>(number)];
     g.told = changes_.size();
     const double share = std::uniform_real_distribution<double>(0, 1)(network_);
-    at(now_ + span_of(seconds(s_.list.lag) * share), Kind::list_tell, static_cast<std::uint32_t>(number),
+    at(now_ + span_of(to_seconds(s_.list.lag) * share), Kind::list_tell, static_cast<std::uint32_t>(number),
        static_cast<std::uint64_t>(g.life) << 32 | changes_.size());
   }
 
@@ -974,7 +978,7 @@
     g.taken.push_back(client.number);
     set_turn(number);
     Duration ends = client.deadline;
-    if (const auto share = clients_.leaves()) ends = now_ + span_of(seconds(op.timeout) * *share);
+    if (const auto share = clients_.leaves()) ends = now_ + span_of(to_seconds(op.timeout) * *share);
     at(ends, Kind::client_ends, i, client.serial);
   }
 
@@ -990,12 +994,12 @@
     clients_.left(i, now_);
   }
 
-  void client_hears(std::uint32_t i, std::uint32_t serial, const Verdict& verdict) {
+  void client_hears(std::uint32_t i, std::uint32_t serial, const ReplyDecision& verdict) {
     Client& client = clients_.at(i);
     if (!client.busy || client.serial != serial) return;
     client.busy = false;
-    if (verdict.ending != Ending::answer)
-      return not_served(i, verdict.come_back, verdict.ending == Ending::push_back);
+    if (verdict.outcome != MultigetOutcome::answer)
+      return not_served(i, verdict.retry_after, verdict.outcome == MultigetOutcome::push_back);
     clients_.answered(i, now_);
   }
 
@@ -1091,7 +1095,7 @@
       case FaultKind::lie_up:
         if (begins) {
           stop(number);
-          if (fault.kind == FaultKind::crash) listed_later(number, Standing::gone, kCrashListed);
+          if (fault.kind == FaultKind::crash) listed_later(number, ServerStatus::gone, kCrashListed);
         } else {
           start(number, fault.kind == FaultKind::crash);
         }
@@ -1099,7 +1103,7 @@
       case FaultKind::vanish:
         server.vanished = begins;
         if (begins) {
-          listed_later(number, Standing::gone, kVanishedListed);
+          listed_later(number, ServerStatus::gone, kVanishedListed);
         } else {
           stop(number);
           start(number, true);
@@ -1123,24 +1127,24 @@
         return;
       case FaultKind::drain:
         if (begins) {
-          listed_later(number, Standing::draining, 0ms);
+          listed_later(number, ServerStatus::draining, 0ms);
           // It takes nothing new once the grace and the list's lag are over, and ends half way.
           at((now_ + fault.until - fault.from) - (fault.until - fault.from) / 2, Kind::server_listed,
-             static_cast<std::uint32_t>(number), static_cast<std::uint64_t>(Standing::gone));
+             static_cast<std::uint32_t>(number), static_cast<std::uint64_t>(ServerStatus::gone));
         } else {
           stop(number);
           start(number, true);
         }
         return;
       case FaultKind::lie_drain:
-        listed_later(number, begins ? Standing::draining : Standing::up, 0ms);
+        listed_later(number, begins ? ServerStatus::draining : ServerStatus::up, 0ms);
         return;
       default:
         return;
     }
   }
 
-  void listed_later(int server, Standing standing, Duration after, bool cold = false) {
+  void listed_later(int server, ServerStatus standing, Duration after, bool cold = false) {
     at(now_ + after, Kind::server_listed, static_cast<std::uint32_t>(server),
        static_cast<std::uint64_t>(standing) | (cold ? 4U : 0U));
   }
@@ -1167,7 +1171,8 @@
     for (std::uint32_t i = 0; i < sends_.size(); ++i) {
       SendState& send = sends_[i];
       if (send.refs == 0 || send.server != number || send.told || send.done) continue;
-      tell(i, now_ < send.written ? Fate::dial_failed : Fate::dropped, delay(send.gatherer, server));
+      tell(i, now_ < send.written ? SendOutcome::dial_failed : SendOutcome::dropped,
+           delay(send.gatherer, server));
     }
   }
 
@@ -1183,10 +1188,10 @@
     event.server = number;
     event.cold = true;
     note(event);
-    if (listed || server.listed != Standing::up)
-      listed_later(number, Standing::up, 0ms, true);
+    if (listed || server.listed != ServerStatus::up)
+      listed_later(number, ServerStatus::up, 0ms, true);
     else
-      list_changes(number, Standing::up, true);
+      list_changes(number, ServerStatus::up, true);
   }
 
   void kill(int number) {
@@ -1290,7 +1295,7 @@
     for (std::uint32_t i = 0; i < sends_.size(); ++i) {
       SendState& send = sends_[i];
       if (send.refs == 0 || send.gatherer != number || send.told || send.done) continue;
-      tell(i, now_ < send.written ? Fate::dial_failed : Fate::dropped, 0ms);
+      tell(i, now_ < send.written ? SendOutcome::dial_failed : SendOutcome::dropped, 0ms);
     }
   }
 
@@ -1300,7 +1305,7 @@
     result_.digest = digest_;
     result_.breaches = checker_.breaches();
     for (int rule = 1; rule <= 6; ++rule) result_.breach_counts[rule] = checker_.count(rule);
-    const double time = seconds(s_.length - s_.settle);
+    const double time = to_seconds(s_.length - s_.settle);
     clients_.finish();
     result_.used = worked_ / (time * s_.fleet.cores * static_cast<double>(servers_.size()));
     result_.wasted = worked_ > 0 ? std::max(wasted_, 0.0) / worked_ : 0;
@@ -1332,7 +1337,7 @@
   std::vector<Machine> machines_;
   std::vector<SendState> sends_;
   std::vector<std::uint32_t> free_sends_;
-  std::map<std::tuple<int, Rid, int>, std::uint32_t> out_sends_;
+  std::map<std::tuple<int, RequestId, int>, std::uint32_t> out_sends_;
   std::deque<Probe> probes_;
   std::vector<Change> changes_;
   std::map<int, int> calls_;
--- a/src/fleet/configuration.cpp
+++ b/src/fleet/configuration.cpp
@@ -83,7 +83,7 @@
   change.author = author_or_user(what.author);
   change.share = what.share;
   change.after = what.after;
-  change.made_ms = machine_clock().wall() / 1ms;
+  change.made_ms = system_time_source().wall() / 1ms;
   net::Loop loop;
   Agreement agreement(loop, fleet, change);
   const Outcome outcome = agreement.run();
--- a/src/fleet/main.cpp
+++ b/src/fleet/main.cpp
@@ -26,7 +26,7 @@
 
 constexpr Duration kLimit = 2s;
 
-std::int64_t now_ms() { return machine_clock().wall() / 1ms; }
+std::int64_t now_ms() { return system_time_source().wall() / 1ms; }
 
 std::optional<Fleet> read(const std::string& file) {
   const fleet::Read result = fleet::read_fleet_file(file);
--- a/src/fleet/rollout.cpp
+++ b/src/fleet/rollout.cpp
@@ -383,7 +383,7 @@
       return 0;
     }
     const rollout::Kept kept = rollout::read_kept(config::object(state, "kept"));
-    const std::int64_t now = machine_clock().wall() / 1ms;
+    const std::int64_t now = system_time_source().wall() / 1ms;
     std::cout << state.value("plan", "") << ": " << rollout::name_of(kept.state) << ", stage "
               << kept.stage + 1 << ", for " << (now - kept.since_ms) / 1000 << " s"
               << (kept.why.empty() ? "" : "; " + kept.why) << '\n'
--- a/src/gatherer/gatherer.cpp
+++ b/src/gatherer/gatherer.cpp
@@ -71,14 +71,14 @@
   loop_.tell_long_turns(kLongTurn, [this](const net::Loop::Turn& turn) {
     long_turns_.event({{"ms", turn.took / 1ms}, {"processor_ms", turn.processor / 1ms}, {"in_hand", open_}});
   });
-  choice_.clock(loop_.now());
+  choice_.advance_clock(loop_.now());
   if (commission.known.is_object()) {
     list::News known = read_known(commission, unix_start_);
     known.whole = true;
     servers_.listed(known);
-    choice_.list_opens(true, true);
-    for (const list::Entry& entry : known.entries) choice_.list_row(entry.row);
-    choice_.list_closes();
+    choice_.on_list_begin(true, true);
+    for (const list::Entry& entry : known.entries) choice_.on_list_entry(entry.row);
+    choice_.on_list_complete();
     watch_.held(known.index);
     log::event(log::Level::info, "list.remembered",
                {{"servers", known.entries.size()}, {"version", known.index}, {"left_out", known.skipped}});
@@ -172,7 +172,7 @@
 }
 
 void Gatherer::reload(const config::Commission& fresh) {
-  Choice(fresh.terms, fresh.seed);  // checks them before anything is changed
+  DecisionEngine(fresh.terms, fresh.seed);  // checks them before anything is changed
   const auto waits = [](bool differs, const std::string& key) {
     if (differs) log::event(log::Level::warning, "configuration.waits_for_start", {{"key", key}});
   };
@@ -198,9 +198,9 @@
   const config::Carriage& to = fresh.carriage;
   config::Carriage& from = commission_.carriage;
   std::size_t changed = 0;
-  const Terms& present = commission_.terms;
+  const FlatSettings& present = commission_.terms;
   for (const auto* terms : {&fresh.terms, &present}) {
-    const Terms& others = terms == &fresh.terms ? present : fresh.terms;
+    const FlatSettings& others = terms == &fresh.terms ? present : fresh.terms;
     for (const auto& [name, term] : *terms) {
       const auto at = others.find(name);
       if (at != others.end() && (terms != &fresh.terms || at->second == term)) continue;
@@ -223,7 +223,7 @@
   }
   hand_over();
   carry_out();
-  choice_.renew(fresh.terms);
+  choice_.update_settings(fresh.terms);
   const bool ask_anew = to.zones != from.zones || to.cells != from.cells;
   if (ask_anew) servers_.renumber_zones(from.zones, to.zones);
   const bool pushed_now = from.list_is_asked && !to.list_is_asked;
@@ -252,23 +252,23 @@
 
 void Gatherer::hand_over() {
   woken_ = false;
-  choice_.clock(loop_.now());
+  choice_.advance_clock(loop_.now());
   for (list::News& news : std::exchange(news_, {})) list_came(std::move(news));
   for (const Duration most_backoff : std::exchange(refusals_, {})) {
-    choice_.list_refused(most_backoff);
+    choice_.on_list_call_refused(most_backoff);
     // Where the list is pushed nobody decides to ask for it; the connection that brings it is kept up here.
     if (!commission_.carriage.list_is_asked)
       loop_.at(loop_.now() + list::kAgentBackoff, [this] { watch_.ask(true); });
   }
   for (servers::Ended& ended : std::exchange(servers_.ended, {})) sent_back(ended);
   for (const servers::Probed& probed : std::exchange(servers_.probed, {}))
-    choice_.probe_ended(probed.server, probed.fate, probed.elapsed, probed.report);
+    choice_.on_probe_ended(probed.server, probed.fate, probed.elapsed, probed.report);
   for (const auto& one : carriers_) {
     for (servers::Ended& ended : std::exchange(one->ended, {})) sent_back(ended);
     for (const servers::Probed& probed : std::exchange(one->probed, {}))
-      choice_.probe_ended(probed.server, probed.fate, probed.elapsed, probed.report);
+      choice_.on_probe_ended(probed.server, probed.fate, probed.elapsed, probed.report);
   }
-  for (const Rid& id : std::exchange(second_steps_, {})) {
+  for (const RequestId& id : std::exchange(second_steps_, {})) {
     const int place = hand_.find(id);
     if (place >= 0 && !hand_.at(place).over) hand_parts(hand_.at(place));
   }
@@ -282,7 +282,7 @@
 void Gatherer::left(std::size_t front, std::uint64_t caller) {
   const auto at = by_caller_.find({front, caller});
   if (at == by_caller_.end()) return;
-  const Rid id = at->second;
+  const RequestId id = at->second;
   by_caller_.erase(at);
   InHand& mg = hand_.at(hand_.find(id));
   mg.caller = 0;
@@ -291,7 +291,7 @@
   if (totals::Count* count = counted(mg)) count->left += 1;
   log::event(log::Level::debug, "multiget.ended",
              {{"multiget", mg.wire_id}, {"caller", caller}, {"how", "client_left"}});
-  choice_.client_left(id);
+  choice_.on_client_left(id);
   give_back(mg);
 }
 
@@ -311,7 +311,7 @@
     log::event(log::Level::debug, "multiget.ended",
                {{"multiget", mg.wire_id}, {"caller", caller.second}, {"how", "stopped"}});
     fronts_[caller.first]->refuse(caller.second, front::Refusal::failed, {});
-    choice_.client_left(id);
+    choice_.on_client_left(id);
     give_back(mg);
   }
 }
@@ -322,7 +322,7 @@
   mg.over = true;
   --open_;
   for (std::size_t i = 0; i < mg.pieces.size() && mg.out > 0; ++i) {
-    const Rid part = part_id(mg.id, i);
+    const RequestId part = part_id(mg.id, i);
     for (int send = 0; send < mg.pieces[i].sent; ++send) servers_.unsend(part, send);
   }
 }
@@ -330,26 +330,26 @@
 void Gatherer::list_came(list::News&& news) {
   servers_.listed(news);
   for (const auto& one : carriers_) one->listed(news);
-  choice_.list_opens(news.whole, false);
+  choice_.on_list_begin(news.whole, false);
   // A whole list says nothing of a server whose entry cannot be read: the module is told again what it was
   // told last.
   std::size_t kept = 0;
   for (const std::string& name : news.unreadable) {
-    const ListRow* const last = news.whole ? servers_.last_row(name) : nullptr;
+    const ListEntry* const last = news.whole ? servers_.last_row(name) : nullptr;
     if (last == nullptr) continue;
-    choice_.list_row(*last);
+    choice_.on_list_entry(*last);
     kept += 1;
   }
   done_.unreadable += static_cast<std::uint64_t>(news.skipped);
   for (const list::Entry& entry : news.entries) {
-    choice_.list_row(entry.row);
+    choice_.on_list_entry(entry.row);
     log::event(log::Level::debug, "list.server",
                {{"server", entry.row.server},
-                {"standing", entry.row.standing == Standing::up         ? "up"
-                             : entry.row.standing == Standing::draining ? "draining"
-                                                                        : "gone"}});
+                {"standing", entry.row.status == ServerStatus::up         ? "up"
+                             : entry.row.status == ServerStatus::draining ? "draining"
+                                                                          : "gone"}});
   }
-  choice_.list_closes();
+  choice_.on_list_complete();
   clients_.room(client_room(commission_, servers_.servers_listed()));
   if (!news.entries.empty())
     log::event(
@@ -359,16 +359,16 @@
 
 // The module's ids: eight digits of the multiget's number, four zeros, and four of the part's place, 0 for
 // the multiget itself.
-Rid Gatherer::part_id(const Rid& multiget, std::size_t piece) const {
-  Rid out = multiget;
+RequestId Gatherer::part_id(const RequestId& multiget, std::size_t piece) const {
+  RequestId out = multiget;
   char digits[5];
   std::snprintf(digits, sizeof digits, "%04zx", (piece + 1) & 0xffff);
   std::copy_n(digits, 4, out.text.begin() + 12);
   return out;
 }
 
-Gatherer::InHand* Gatherer::hand_of(const Rid& part, std::size_t* piece) {
-  Rid id = part;
+Gatherer::InHand* Gatherer::hand_of(const RequestId& part, std::size_t* piece) {
+  RequestId id = part;
   std::fill_n(id.text.begin() + 12, 4, '0');
   const int place = hand_.find(id);
   if (place < 0) return nullptr;
@@ -398,11 +398,11 @@
     return fronts_[from]->refuse(asked.caller, front::Refusal::same_id, {});
   }
   const std::uint32_t number = next_number_++;
-  Rid id;
+  RequestId id;
   char digits[17];
   std::snprintf(digits, sizeof digits, "%08x00000000", number);
   std::copy_n(digits, 16, id.text.begin());
-  InHand& mg = hand_.at(hand_.take(id));
+  InHand& mg = hand_.at(hand_.insert(id));
   mg.front = from;
   mg.caller = asked.caller;
   mg.wire_id = ask.id;
@@ -429,8 +429,8 @@
   log::event(log::Level::debug, "multiget.taken", {{"multiget", mg.wire_id}, {"caller", asked.caller}});
   const Duration client_leaves = asked.sent_by + ask.patience;
   mg.until = leave_by_ ? std::min(client_leaves, *leave_by_) : client_leaves;
-  choice_.multiget_taken({id, static_cast<double>(number), ask.op_type, ask.customer,
-                          static_cast<int>(mg.pieces.size()), mg.until, ask.repeated});
+  choice_.on_multiget_received({id, static_cast<double>(number), ask.op_type, ask.customer,
+                                static_cast<int>(mg.pieces.size()), mg.until, ask.repeated});
   hand_parts(mg);
 }
 
@@ -440,7 +440,7 @@
   for (std::size_t i = mg.first_of_step; i < mg.pieces.size(); ++i) {
     const Piece& piece = mg.pieces[i];
     held_ += 1;
-    choice_.part_taken(
+    choice_.on_part_received(
         {part_id(mg.id, i), static_cast<double>(number), piece.shard, piece.mass, piece.key, piece.hint});
   }
 }
@@ -451,14 +451,15 @@
   if (!must_hold(mg != nullptr, "a send that ends belongs to a multiget in hand")) return;
   Piece& piece = mg->pieces[at];
   mg->out -= 1;
-  if (ended.fate == Fate::revoked || ended.fate == Fate::expired || ended.fate == Fate::dropped)
+  if (ended.fate == SendOutcome::revoked || ended.fate == SendOutcome::expired ||
+      ended.fate == SendOutcome::dropped)
     mg->last_given = std::max(mg->last_given, loop_.now() - ended.elapsed);
-  if (ended.fate == Fate::returned && !piece.returned && !mg->over) {
+  if (ended.fate == SendOutcome::returned && !piece.returned && !mg->over) {
     piece.returned = true;
     piece.score = ended.score;
     piece.value = std::move(ended.value);
   }
-  choice_.send_ended(ended.part, ended.send, ended.fate, ended.elapsed, ended.report);
+  choice_.on_send_ended(ended.part, ended.send, ended.fate, ended.elapsed, ended.report);
   give_back(*mg);
 }
 
@@ -466,14 +467,14 @@
   if (!mg.over || mg.out > 0) return;
   held_ -= 1 + static_cast<int>(mg.pieces.size());
   by_wire_id_.erase(mg.wire_id);
-  hand_.give_back(hand_.find(mg.id));
+  hand_.erase(hand_.find(mg.id));
 }
 
 // ---- carry out ----
 
 void Gatherer::carry_out() {
-  while (const auto verdict = choice_.next_verdict()) decided(*verdict);
-  while (const auto gone = choice_.next_withdrawal()) {
+  while (const auto verdict = choice_.next_reply()) decided(*verdict);
+  while (const auto gone = choice_.next_cancellation()) {
     const bool carried = std::any_of(carriers_.begin(), carriers_.end(),
                                      [&](const auto& one) { return one->withdraw(gone->part, gone->send); });
     if (!carried) servers_.withdraw(gone->part, gone->send);
@@ -500,8 +501,8 @@
     errand.shard = piece.shard;
     errand.once = mg->once;
     errand.text = mg->text;
-    errand.not_past = send->not_past;
-    errand.begun_by = send->begun_by;
+    errand.not_past = send->deadline;
+    errand.begun_by = send->latest_start;
     errand.pulled = loop_.now();
     mg->out += 1;
     mg->last_send = loop_.now();
@@ -517,9 +518,10 @@
     carrier != nullptr ? carrier->probe(std::string(*server)) : servers_.probe(std::string(*server));
   }
   while (const auto call = choice_.next_list_call()) watch_.ask(*call == ListCall::watch);
-  while (const auto note = choice_.next_note())
+  while (const auto note = choice_.next_log_message())
     log::event(log::Level::info, "decisions.note", {{"what", *note}});
-  while (const auto wake = choice_.next_wake()) loop_.at(loop_.now() + *wake, [this] { woken_ = true; });
+  while (const auto wake = choice_.next_wake_delay())
+    loop_.at(loop_.now() + *wake, [this] { woken_ = true; });
 }
 
 // Every step's end passes here, once for each. Connections keep no order among each other: a send that was
@@ -529,7 +531,7 @@
 // answer, or one from before the end of a silence of all servers in that time, an answer waits these 50 ms
 // out, and what is given up on a tick only. That befalls multigets with a second copy just sent; harm: these
 // are answered so much later.
-void Gatherer::decided(const Verdict& verdict) {
+void Gatherer::decided(const ReplyDecision& verdict) {
   InHand* mg = hand_of(verdict.multiget);
   if (!must_hold(mg != nullptr && !mg->over, "one final answer for each multiget")) return;
   const Duration newest = std::max(mg->out > 0 ? mg->last_send : mg->last_given, mg->last_given);
@@ -537,15 +539,15 @@
   const Duration clear = (mg->out > 0 ? std::max(newest, silent) : newest) + kSlack;
   if (loop_.now() > clear) return answered(*mg, verdict);
   const Duration tick = loop_.now() + commission_.carriage.tick;
-  loop_.at(verdict.ending == Ending::answer ? std::max(tick, clear) : tick, [this, verdict] {
+  loop_.at(verdict.outcome == MultigetOutcome::answer ? std::max(tick, clear) : tick, [this, verdict] {
     InHand* late = hand_of(verdict.multiget);
     if (late != nullptr && !late->over) answered(*late, verdict);
   });
 }
 
-void Gatherer::answered(InHand& mg, const Verdict& verdict) {
-  if (verdict.ending == Ending::answer && mg.step == 1 && mg.second_step > 0) {
-    return second_step(mg, verdict.whole);
+void Gatherer::answered(InHand& mg, const ReplyDecision& verdict) {
+  if (verdict.outcome == MultigetOutcome::answer && mg.step == 1 && mg.second_step > 0) {
+    return second_step(mg, verdict.complete);
   }
   const std::uint64_t caller = std::exchange(mg.caller, 0);
   by_caller_.erase({mg.front, caller});
@@ -553,25 +555,25 @@
   over(mg);
   if (totals::Count* count = counted(mg)) {
     const Duration took = loop_.now() - mg.began;
-    if (verdict.ending == Ending::answer) {
+    if (verdict.outcome == MultigetOutcome::answer) {
       count->answered += 1;
-      count->whole += verdict.whole ? 1 : 0;
+      count->whole += verdict.complete ? 1 : 0;
       count->in_budget += took <= mg.budget ? 1 : 0;
       count->latency.add(took);
     } else {
-      (verdict.ending == Ending::push_back ? count->pushed_back : count->failed) += 1;
+      (verdict.outcome == MultigetOutcome::push_back ? count->pushed_back : count->failed) += 1;
     }
   }
-  if (verdict.ending == Ending::answer) {
+  if (verdict.outcome == MultigetOutcome::answer) {
     std::vector<front::Value> values;
     for (std::size_t i = mg.first_of_step; i < mg.pieces.size(); ++i) {
       if (mg.pieces[i].returned) values.push_back({mg.pieces[i].shard, mg.pieces[i].value});
     }
     done_.answered += 1;
-    its.answer(caller, verdict.whole, values);
-  } else if (verdict.ending == Ending::push_back) {
+    its.answer(caller, verdict.complete, values);
+  } else if (verdict.outcome == MultigetOutcome::push_back) {
     done_.pushed_back += 1;
-    its.refuse(caller, front::Refusal::pushed_back, verdict.come_back);
+    its.refuse(caller, front::Refusal::pushed_back, verdict.retry_after);
   } else {
     done_.failed += 1;
     its.refuse(caller, front::Refusal::failed, {});
@@ -579,9 +581,9 @@
   log::event(log::Level::debug, "multiget.ended",
              {{"multiget", mg.wire_id},
               {"caller", caller},
-              {"how", verdict.ending == Ending::answer      ? "answered"
-                      : verdict.ending == Ending::push_back ? "pushed_back"
-                                                            : "failed"}});
+              {"how", verdict.outcome == MultigetOutcome::answer      ? "answered"
+                      : verdict.outcome == MultigetOutcome::push_back ? "pushed_back"
+                                                                      : "failed"}});
   give_back(mg);
 }
 
--- a/src/gatherer/gatherer.h
+++ b/src/gatherer/gatherer.h
@@ -30,7 +30,7 @@
   // Outlived by the commission, whose settings change with reload().
   // A socket that listens already at the address for clients may be given, and another clock.
   explicit Gatherer(config::Commission& commission, net::Descriptor listening = {},
-                    const TimeSource& clock = machine_clock());
+                    const TimeSource& clock = system_time_source());
 
   // A further front beside the platform's; before the first turn.
   void add(std::unique_ptr<front::Front> front);
@@ -71,7 +71,7 @@
   // A multiget from its request to the end of its last send. Its id and its parts' differ in their last
   // digits.
   struct InHand {
-    Rid id;
+    RequestId id;
     std::size_t front = 0;
     std::uint64_t caller = 0;  // 0 once it has its final answer or its client has left
     std::string wire_id;
@@ -105,8 +105,8 @@
                   second_steps = 0, unreadable = 0;
   };
 
-  Rid part_id(const Rid& multiget, std::size_t piece) const;
-  InHand* hand_of(const Rid& part, std::size_t* piece = nullptr);
+  RequestId part_id(const RequestId& multiget, std::size_t piece) const;
+  InHand* hand_of(const RequestId& part, std::size_t* piece = nullptr);
   bool any_news() const;
   bool no_clients() const;
   bool writing() const;
@@ -117,8 +117,8 @@
   void fail_what_outlasts_stop();
   void hand_parts(InHand& mg);
   void sent_back(servers::Ended& ended);
-  void decided(const Verdict& verdict);
-  void answered(InHand& mg, const Verdict& verdict);
+  void decided(const ReplyDecision& verdict);
+  void answered(InHand& mg, const ReplyDecision& verdict);
   void second_step(InHand& mg, bool whole);
   void over(InHand& mg);
   void give_back(InHand& mg);
@@ -134,21 +134,21 @@
   net::Address discovery_;  // the one of the newest configuration
   net::Loop loop_;
   Duration unix_start_;
-  Choice choice_;
+  DecisionEngine choice_;
   servers::Servers servers_;
   std::vector<std::unique_ptr<carrier::Carrier>> carriers_;
   clients::Clients clients_;
   std::vector<std::unique_ptr<front::Front>> more_fronts_;
   std::vector<front::Front*> fronts_{&clients_};  // all of them, the platform's first
   list::Watch watch_;
-  Slab<InHand> hand_;
+  SlotMap<InHand> hand_;
   int held_ = 0;  // multigets and parts
   int open_ = 0;  // multigets not finally answered
   std::uint32_t next_number_ = 1;
   std::vector<std::uint64_t> numbers_;
-  std::map<std::pair<std::size_t, std::uint64_t>, Rid> by_caller_;
-  std::map<std::string, Rid, std::less<>> by_wire_id_;
-  std::vector<Rid> second_steps_;  // whose parts the module is told of in the next turn
+  std::map<std::pair<std::size_t, std::uint64_t>, RequestId> by_caller_;
+  std::map<std::string, RequestId, std::less<>> by_wire_id_;
+  std::vector<RequestId> second_steps_;  // whose parts the module is told of in the next turn
   std::vector<list::News> news_;
   std::vector<Duration> refusals_;  // of the list; within what each is asked for again
   bool woken_ = true;
--- a/src/gatherer/totals.cpp
+++ b/src/gatherer/totals.cpp
@@ -95,7 +95,7 @@
               {"not_connected", t.dial_failed},
               {"dropped", t.dropped},
               {"expired", t.expired},
-              {"servers_known", choice_.servers_known()},
+              {"servers_known", choice_.known_server_count()},
               {"entries_unreadable", done_.unreadable},
               {"odd_frames", t.odd_frames},
               {"dials", a.dials},
--- a/src/keeper/keeper.cpp
+++ b/src/keeper/keeper.cpp
@@ -39,7 +39,7 @@
 }
 
 // A share of chance that is this keeper's own, so that those of a fleet do not wait in step.
-double jitter_of(const std::string& name) { return static_cast<double>(hash_text(name) % 1000) / 2000.0; }
+double jitter_of(const std::string& name) { return static_cast<double>(hash_string(name) % 1000) / 2000.0; }
 
 json counts(const totals::Count& c) {
   json out = totals::put(c);
--- a/src/keeper/main.cpp
+++ b/src/keeper/main.cpp
@@ -3,5 +3,5 @@
 
 int main(int count, char** words) {
   static marbledyke::disk::LocalDisk disk;
-  return marbledyke::keeper::run(count, words, disk, marbledyke::machine_clock());
+  return marbledyke::keeper::run(count, words, disk, marbledyke::system_time_source());
 }
--- a/src/keeper/settings_keeper.cpp
+++ b/src/keeper/settings_keeper.cpp
@@ -141,7 +141,7 @@
 }
 
 void SettingsKeeper::watch(std::optional<Revision> held) {
-  const auto seed = static_cast<std::uint32_t>(hash_text(name_)) + lives_++;
+  const auto seed = static_cast<std::uint32_t>(hash_string(name_)) + lives_++;
   client_ = std::make_unique<distribution::ReceiverClient>(
       loop_, distribution::Receiver::Identity{name_, options_.zone, options_.fleet}, options_.control_nodes,
       options_.preferred, std::move(held), seed, [this](const Revision& revision) {
--- a/src/keeper/versions.cpp
+++ b/src/keeper/versions.cpp
@@ -73,7 +73,7 @@
 
 std::string digest_of(const std::string& text) {
   char out[17];
-  std::snprintf(out, sizeof out, "%016llx", static_cast<unsigned long long>(hash_text(text)));
+  std::snprintf(out, sizeof out, "%016llx", static_cast<unsigned long long>(hash_string(text)));
   return out;
 }
 
--- a/src/lab/stage.cpp
+++ b/src/lab/stage.cpp
@@ -73,7 +73,7 @@
           return rules;
         }()) {
     loop_.read_clock();
-    result_.seconds.resize(static_cast<std::size_t>(seconds(s_.length)) + 1);
+    result_.seconds.resize(static_cast<std::size_t>(to_seconds(s_.length)) + 1);
     cut_zones_.resize(static_cast<std::size_t>(s_.fleet.zones));
     make_fleet();
     for (int g = 0; g < s_.gatherers.count; ++g) fronts_.push_back(make_front(g));
@@ -192,7 +192,7 @@
     if (at == works_.end()) return {0.001, 0.001};  // over long ago
     const OpLoad& op = s_.op_types[static_cast<std::size_t>(at->second.op)];
     return {scenario::drawn_work(op, seed_, uid, static_cast<std::size_t>(at->second.place[shard])),
-            seconds(op.work)};
+            to_seconds(op.work)};
   }
 
   void make_fleet() {
@@ -203,9 +203,9 @@
         part_arrived(i, id, shard, door, work);
       };
       told.began = [this, i](const std::string& id, int shard, int door, double) {
-        part_event(What::began, i, id, shard, door, Fate::unused);
+        part_event(What::began, i, id, shard, door, SendOutcome::unused);
       };
-      told.ended = [this, i](const std::string& id, int shard, int door, Fate fate) {
+      told.ended = [this, i](const std::string& id, int shard, int door, SendOutcome fate) {
         part_event(What::told, i, id, shard, door, fate);
       };
       machines_.push_back(std::make_unique<Machine>(
@@ -243,7 +243,7 @@
     result_.further += event.send > 0 ? 1 : 0;
   }
 
-  void part_event(What what, int server, const std::string& id, int shard, int door, Fate fate) {
+  void part_event(What what, int server, const std::string& id, int shard, int door, SendOutcome fate) {
     Event event;
     event.what = what;
     event.gatherer = door;
@@ -314,9 +314,9 @@
       event.what = What::learned;
       event.gatherer = number;
       event.server = std::atoi(entry.name.c_str() + 1);
-      event.standing = entry.status == "ready"      ? Standing::up
-                       : entry.status == "draining" ? Standing::draining
-                                                    : Standing::gone;
+      event.standing = entry.status == "ready"      ? ServerStatus::up
+                       : entry.status == "draining" ? ServerStatus::draining
+                                                    : ServerStatus::gone;
       const auto& started = machines_[static_cast<std::size_t>(event.server)]->started();
       event.cold = started && entry.since_ms > 0 && since_[event.server] == entry.since_ms;
       if (begun_ > Duration::zero()) note(event);
@@ -382,7 +382,7 @@
 
   // How late this process is itself: what it would hold against the gatherers otherwise.
   void beat(Duration due) {
-    late_ = std::max(late_, seconds(loop_.now() - due));
+    late_ = std::max(late_, to_seconds(loop_.now() - due));
     const Duration next = loop_.now() + kBeat;
     loop_.at(next, [this, next] { beat(next); });
   }
@@ -397,18 +397,18 @@
     if (now() < s_.length) later(now() + 1s, [this] { watch_children(); });
   }
 
-  void list(int server, Standing standing, bool cold) {
+  void list(int server, ServerStatus standing, bool cold) {
     char name[16];
     std::snprintf(name, sizeof name, "s%05d", server);
     if (cold) since_[server] = unix_ms();
     for (const auto& front : fronts_) {
       Listed& listed = front->listed[name];
-      listed.status = standing == Standing::up         ? "ready"
-                      : standing == Standing::draining ? "draining"
-                                                       : "gone";
+      listed.status = standing == ServerStatus::up         ? "ready"
+                      : standing == ServerStatus::draining ? "draining"
+                                                           : "gone";
       if (cold) listed.since_ms = since_[server];
       const double share = std::uniform_real_distribution<double>(0, 1)(lag_);
-      loop_.at(loop_.now() + span_of(seconds(s_.list.lag) * share),
+      loop_.at(loop_.now() + span_of(to_seconds(s_.list.lag) * share),
                [&front = *front, listed] { front.discovery->set(listed); });
     }
     standing_[server] = standing;
@@ -456,7 +456,7 @@
         if (begins) {
           stop(number);
           if (fault.kind == FaultKind::crash)
-            later(now() + kCrashListed, [this, number] { list(number, Standing::gone, false); });
+            later(now() + kCrashListed, [this, number] { list(number, ServerStatus::gone, false); });
         } else {
           return_cold(number);
         }
@@ -464,7 +464,7 @@
       case FaultKind::vanish:
         if (begins) {
           machine.vanish(true);
-          later(now() + kVanishedListed, [this, number] { list(number, Standing::gone, false); });
+          later(now() + kVanishedListed, [this, number] { list(number, ServerStatus::gone, false); });
         } else {
           stop(number);
           return_cold(number);
@@ -487,16 +487,16 @@
         return;
       case FaultKind::drain:
         if (begins) {
-          list(number, Standing::draining, false);
+          list(number, ServerStatus::draining, false);
           later(now() + (fault.until - fault.from) / 2,
-                [this, number] { list(number, Standing::gone, false); });
+                [this, number] { list(number, ServerStatus::gone, false); });
         } else {
           stop(number);
           return_cold(number);
         }
         return;
       case FaultKind::lie_drain:
-        return list(number, begins ? Standing::draining : Standing::up, false);
+        return list(number, begins ? ServerStatus::draining : ServerStatus::up, false);
       default:
         return;
     }
@@ -521,7 +521,7 @@
     event.server = number;
     event.cold = true;
     note(event);
-    list(number, Standing::up, true);
+    list(number, ServerStatus::up, true);
   }
 
   void cut_zones() {
@@ -755,7 +755,8 @@
     // What it still refers to is forgotten some time after its end.
     loop_.at(begun_ + asking.until + 5s, [this, uid = asking.uid] { works_.erase(uid); });
     Duration ends = asking.until + kCrossing;
-    if (const auto share = clients_.leaves()) ends = now() + span_of(seconds(asking.until - now()) * *share);
+    if (const auto share = clients_.leaves())
+      ends = now() + span_of(to_seconds(asking.until - now()) * *share);
     loop_.at(begun_ + ends, [this, number = line.number, uid = asking.uid] { time_is_up(number, uid); });
   }
 
@@ -886,7 +887,7 @@
       sum += ran;
       ++sound;
     }
-    result_.used = worked / (seconds(s_.length) * s_.fleet.servers * s_.fleet.cores);
+    result_.used = worked / (to_seconds(s_.length) * s_.fleet.servers * s_.fleet.cores);
     if (sum > 0) result_.imbalance = most * sound / sum;
     result_.breaches = checker_.breaches();
     for (int rule = 1; rule <= 6; ++rule) result_.breach_counts[rule] = checker_.count(rule);
@@ -904,7 +905,7 @@
   std::vector<std::unique_ptr<Machine>> machines_;
   std::vector<std::unique_ptr<Front>> fronts_;
   std::map<int, std::int64_t> since_;
-  std::map<int, Standing> standing_;
+  std::map<int, ServerStatus> standing_;
   std::set<int> disturbed_;
   std::vector<int> cut_zones_;
   double stampede_ = 1;
--- a/src/list/news.cpp
+++ b/src/list/news.cpp
@@ -10,10 +10,10 @@
 
 constexpr std::size_t kMostNamed = 32;  // of one server, before what is named twice is left out
 
-Standing standing(const std::string& status) {
-  if (status == "ready") return Standing::up;
-  if (status == "draining") return Standing::draining;
-  if (status == "gone") return Standing::gone;
+ServerStatus standing(const std::string& status) {
+  if (status == "ready") return ServerStatus::up;
+  if (status == "draining") return ServerStatus::draining;
+  if (status == "gone") return ServerStatus::gone;
   throw BadInput("status: unknown value " + status);
 }
 
@@ -50,7 +50,7 @@
   const std::int64_t cell = config::whole_or(from, "group", 0);
   if (cell < 0 || cell >= carriage.cells) throw BadInput("group: out of range");
   out.row.cell = static_cast<int>(cell);
-  out.row.standing = standing(config::text(from, "status"));
+  out.row.status = standing(config::text(from, "status"));
   out.row.size = config::number_or(from, "weight", 1);
   const std::int64_t since = config::whole_or(from, "since_ms", 0);
   if (since < 0 || since > 1'000'000'000'000'000) throw BadInput("since_ms: out of range");
--- a/src/list/news.h
+++ b/src/list/news.h
@@ -14,7 +14,7 @@
 namespace marbledyke::list {
 
 struct Entry {
-  ListRow row;
+  ListEntry row;
   std::vector<net::Address> addresses;  // `address`, then those of the optional `addresses`
 };
 
--- a/src/model/clock.h
+++ b/src/model/clock.h
@@ -14,10 +14,10 @@
   virtual Duration steady() const = 0;  // since some fixed moment; never goes back
   virtual Duration wall() const = 0;    // since 1970, UTC; may step
   // How long to wait by the machine's clock for that much to pass by this one.
-  virtual Duration machine_time(Duration own) const = 0;
+  virtual Duration machine_duration(Duration own) const = 0;
 };
 
-class MachineTime final : public TimeSource {
+class SystemTimeSource final : public TimeSource {
  public:
   Duration steady() const override {
     return std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch());
@@ -25,12 +25,12 @@
   Duration wall() const override {
     return std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
   }
-  Duration machine_time(Duration own) const override { return own; }
+  Duration machine_duration(Duration own) const override { return own; }
 };
 
-inline const TimeSource& machine_clock() {
-  static const MachineTime one;
-  return one;
+inline const TimeSource& system_time_source() {
+  static const SystemTimeSource system_time_source;
+  return system_time_source;
 }
 
 }  // namespace marbledyke
--- a/src/model/hand.h
+++ b/src/model/hand.h
@@ -19,11 +19,11 @@
 
 inline constexpr std::size_t kMostSends = 8;  // places for the sends of one part
 
-enum class Repeat { retriable, deduped, non_retriable };
+enum class RetryClass { retriable, deduped, non_retriable };
 
 struct OpType {
   std::string name;
-  Repeat repeat = Repeat::retriable;
+  RetryClass repeat = RetryClass::retriable;
   Duration latency_budget{};
   Duration route_timeout{};
   Duration dedupe_window{};
@@ -57,7 +57,7 @@
 };
 
 struct Part {
-  Rid id;
+  RequestId id;
   int multiget = -1;
   int next = -1;  // of the same multiget
   int shard = 0;
@@ -80,7 +80,7 @@
 };
 
 struct Multiget {
-  Rid id;
+  RequestId id;
   double number = 0;
   int op_type = 0;
   int cells = 1, width = 1;  // the layout of the shards when it was taken
@@ -117,7 +117,7 @@
   std::optional<Duration> start;  // the replica's start that it is for
 
   double grown(Duration now, double share, Duration window, double most) {
-    work = std::min(work + share * (micros(now - at) / micros(window)), most);
+    work = std::min(work + share * (to_micros(now - at) / to_micros(window)), most);
     at = now;
     return work;
   }
@@ -128,7 +128,7 @@
   std::uint64_t hash = 0;
   int zone = 0;
   int cell = 0;
-  Standing standing = Standing::gone;
+  ServerStatus standing = ServerStatus::gone;
   bool named = false;  // in the list being read
   bool kept = true;    // it is up, or something still refers to it
   std::optional<Duration> started;
@@ -155,7 +155,7 @@
   double parts = 0;
   Duration at{};
 
-  double recent(Duration now, Duration memory) const { return parts * fade(now - at, memory); }
+  double recent(Duration now, Duration memory) const { return parts * exponential_decay(now - at, memory); }
   void add(Duration now, Duration memory) { *this = {recent(now, memory) + 1, now}; }
 };
 
--- a/src/model/measure.h
+++ b/src/model/measure.h
@@ -9,21 +9,23 @@
 
 namespace marbledyke {
 
-inline double seconds(Duration s) { return static_cast<double>(s.count()) * 1e-6; }
-inline double micros(Duration s) { return static_cast<double>(s.count()); }
-inline Duration span(double us) { return Duration(static_cast<std::int64_t>(us)); }
-inline double fade(Duration age, Duration memory) { return std::exp(-micros(age) / micros(memory)); }
+inline double to_seconds(Duration s) { return static_cast<double>(s.count()) * 1e-6; }
+inline double to_micros(Duration s) { return static_cast<double>(s.count()); }
+inline Duration from_micros(double us) { return Duration(static_cast<std::int64_t>(us)); }
+inline double exponential_decay(Duration age, Duration memory) {
+  return std::exp(-to_micros(age) / to_micros(memory));
+}
 
-inline std::uint64_t mix(std::uint64_t x) {
+inline std::uint64_t mix_bits(std::uint64_t x) {
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
   return x ^ (x >> 31);
 }
 
-inline std::uint64_t hash_text(std::string_view text) {
+inline std::uint64_t hash_string(std::string_view text) {
   std::uint64_t h = 0xcbf29ce484222325ULL;
   for (const char c : text) h = (h ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
-  return mix(h);
+  return mix_bits(h);
 }
 
 }  // namespace marbledyke
--- a/src/model/slab.h
+++ b/src/model/slab.h
@@ -11,15 +11,15 @@
 namespace marbledyke {
 
 template <class T>
-class Slab {
+class SlotMap {
  public:
-  explicit Slab(std::size_t room) {
+  explicit SlotMap(std::size_t room) {
     places_.reserve(room);
     free_.reserve(room);
     rebuild(room);
   }
 
-  int take(const Rid& id) {
+  int insert(const RequestId& id) {
     if ((places_.size() - free_.size() + 1) * 2 > index_.size()) rebuild(places_.size() * 2);
     int place = static_cast<int>(places_.size());
     if (free_.empty()) {
@@ -34,7 +34,7 @@
     return place;
   }
 
-  int find(const Rid& id) const {
+  int find(const RequestId& id) const {
     for (std::size_t i = home(id); index_[i] >= 0; i = (i + 1) & (index_.size() - 1)) {
       if (places_[static_cast<std::size_t>(index_[i])].id == id) return index_[i];
     }
@@ -42,7 +42,7 @@
   }
 
   // Closes the gap in the index, so that later finds still walk an unbroken run.
-  void give_back(int place) {
+  void erase(int place) {
     const std::size_t mask = index_.size() - 1;
     std::size_t hole = home(at(place).id);
     while (index_[hole] != place) hole = (hole + 1) & mask;
@@ -61,7 +61,7 @@
   const T& at(int place) const { return places_[static_cast<std::size_t>(place)]; }
 
  private:
-  std::size_t home(const Rid& id) const {
+  std::size_t home(const RequestId& id) const {
     std::uint64_t h = 1469598103934665603ULL;
     for (char c : id.text) h = (h ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
     return (h ^ (h >> 29)) & (index_.size() - 1);
--- a/src/model/window_count.h
+++ b/src/model/window_count.h
@@ -10,11 +10,11 @@
 
 namespace marbledyke {
 
-class WindowCount {
+class SlidingWindowCounter {
  public:
   // A window of another length starts with so many events, all as if just now. What a longer one would still
   // hold is not known, so it starts full for one length of itself unless nothing was counted.
-  void set(Duration window, Duration now, double kept) {
+  void set_window(Duration window, Duration now, double kept) {
     const Duration slice = std::max(window / kSlices, Duration(1));
     if (slice == slice_) return;
     if (slice > slice_ && kept > 0) kept = kUnknown;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -92,7 +92,7 @@
   const Duration waits_from = now_;
   if (!timers_.empty()) {
     const Duration left =
-        clock_.machine_time(std::max(timers_.begin()->first.first - now_, Duration::zero()));
+        clock_.machine_duration(std::max(timers_.begin()->first.first - now_, Duration::zero()));
     patience = static_cast<int>(std::min<std::int64_t>((left.count() + 999) / 1000, 60'000));
   }
   std::array<epoll_event, 256> room;  // not the loop's own: a turn may be taken within a turn
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -30,7 +30,7 @@
  public:
   using Timer = std::pair<Duration, std::uint64_t>;
 
-  explicit Loop(const TimeSource& clock = machine_clock());
+  explicit Loop(const TimeSource& clock = system_time_source());
 
   const TimeSource& clock() const { return clock_; }
 
--- a/src/rig/bent.cpp
+++ b/src/rig/bent.cpp
@@ -149,7 +149,7 @@
          Duration(std::chrono::milliseconds(bends().step_ms));
 }
 
-Duration BentClock::machine_time(Duration own) const {
+Duration BentClock::machine_duration(Duration own) const {
   follow();
   return Duration(static_cast<std::int64_t>(static_cast<double>(own.count()) / std::max(rate_, 0.001)));
 }
--- a/src/rig/bent.h
+++ b/src/rig/bent.h
@@ -37,11 +37,11 @@
   BentClock();
   Duration steady() const override;
   Duration wall() const override;
-  Duration machine_time(Duration own) const override;
+  Duration machine_duration(Duration own) const override;
 
  private:
   void follow() const;  // a rate that changed counts from now on
-  MachineTime machine_;
+  SystemTimeSource machine_;
   mutable Duration machine_then_{}, own_then_{};
   mutable double rate_ = 1;
 };
--- a/src/rig/flawed.cpp
+++ b/src/rig/flawed.cpp
@@ -60,7 +60,7 @@
 std::string digest_of(const std::string& configuration) {
   char digest[17];
   std::snprintf(digest, sizeof digest, "%016llx",
-                static_cast<unsigned long long>(marbledyke::hash_text(configuration)));
+                static_cast<unsigned long long>(marbledyke::hash_string(configuration)));
   return digest;
 }
 
--- a/src/scenario/scenario.cpp
+++ b/src/scenario/scenario.cpp
@@ -108,8 +108,8 @@
   return std::lognormal_distribution<double>(std::log(mean) - op.sigma * op.sigma / 2, op.sigma)(own);
 }
 
-Terms terms_of(const Scenario& s, int zone) {
-  Terms out;
+FlatSettings terms_of(const Scenario& s, int zone) {
+  FlatSettings out;
   const auto micros = [](Duration span) { return static_cast<double>(span.count()); };
   for (std::size_t i = 0; i < s.op_types.size(); ++i) {
     const OpLoad& op = s.op_types[i];
--- a/src/scenario/scenario.h
+++ b/src/scenario/scenario.h
@@ -155,6 +155,6 @@
 double drawn_work(const OpLoad& op, std::uint32_t seed, std::uint64_t multiget, std::size_t part);
 
 // The module's terms that say what the scenario says.
-Terms terms_of(const Scenario& scenario, int zone);
+FlatSettings terms_of(const Scenario& scenario, int zone);
 
 }  // namespace marbledyke::scenario
--- a/src/servers/frames.cpp
+++ b/src/servers/frames.cpp
@@ -63,7 +63,7 @@
 
 LoadReport read_report(std::string_view text, const std::vector<std::string>& fields) {
   LoadReport out;
-  if (fields.empty() || fields.size() > out.value.size()) return {};
+  if (fields.empty() || fields.size() > out.values.size()) return {};
   std::array<bool, 4> seen{};
   while (!text.empty()) {
     std::string_view pair = cut(text, ',');
@@ -71,7 +71,7 @@
     const auto value = number(pair);
     for (std::size_t i = 0; value && i < fields.size(); ++i) {
       if (plain_name(fields[i]) != name) continue;
-      out.value[i] = *value;
+      out.values[i] = *value;
       seen[i] = true;
     }
   }
--- a/src/servers/servers.cpp
+++ b/src/servers/servers.cpp
@@ -100,12 +100,12 @@
     for (const auto& [name, row] : rows_) book_.stays(name);
   }
   for (const list::Entry& entry : news.entries) {
-    if (entry.row.standing == Standing::gone) {
+    if (entry.row.status == ServerStatus::gone) {
       rows_.erase(entry.row.server);
       book_.gone(entry.row.server);
     } else {
       rows_[entry.row.server] = entry.row;
-      book_.listed(entry.row.server, entry.row.standing == Standing::up, entry.addresses);
+      book_.listed(entry.row.server, entry.row.status == ServerStatus::up, entry.addresses);
     }
   }
   book_.news_closes();
@@ -123,13 +123,13 @@
   }
   for (Link* link : unwanted) rest(*link);
   for (Link* link : too_late) {
-    while (!link->outs.empty()) settle(*link, std::string(link->outs.begin()->first), Fate::unused);
+    while (!link->outs.empty()) settle(*link, std::string(link->outs.begin()->first), SendOutcome::unused);
     broke(*link, false);
   }
   plan_trials();
 }
 
-const ListRow* Servers::last_row(std::string_view server) const {
+const ListEntry* Servers::last_row(std::string_view server) const {
   const auto at = rows_.find(server);
   if (at == rows_.end() || at->second.zone == kNoZone || at->second.cell >= carriage_.cells) return nullptr;
   return &at->second;
@@ -145,7 +145,7 @@
 
 bool Servers::up(std::string_view server) const {
   const auto at = rows_.find(server);
-  return at != rows_.end() && at->second.standing == Standing::up;
+  return at != rows_.end() && at->second.status == ServerStatus::up;
 }
 
 // New sends may go over it: it has not kept silent, and its server is up and still there.
@@ -161,7 +161,7 @@
     tally_.sends += together.size();
     Link* link = link_for(server, together);
     if (link == nullptr) {
-      for (const Errand& errand : together) end(errand, Fate::dial_failed);
+      for (const Errand& errand : together) end(errand, SendOutcome::dial_failed);
       continue;
     }
     Link::Pending call{'1', {}};
@@ -169,7 +169,7 @@
       const SendKey key{errand.part, errand.send};
       const std::string id = errand.id;
       Link::Out out;
-      out.expiry = loop_.at(errand.not_past, [this, key] { give_up(key, Fate::expired); });
+      out.expiry = loop_.at(errand.not_past, [this, key] { give_up(key, SendOutcome::expired); });
       out.errand = std::move(errand);
       log::event(log::Level::debug, "send.taken",
                  {{"part", id}, {"send", out.errand.send}, {"server", server}, {"connection", link->number}});
@@ -182,14 +182,14 @@
   }
 }
 
-void Servers::withdraw(const Rid& part, int send) { give_up({part, send}, Fate::revoked); }
+void Servers::withdraw(const RequestId& part, int send) { give_up({part, send}, SendOutcome::revoked); }
 
-void Servers::unsend(const Rid& part, int send) {
+void Servers::unsend(const RequestId& part, int send) {
   const auto at = out_.find({part, send});
   if (at == out_.end()) return;
   const auto [number, id] = at->second;
   Link& link = *links_.at(number);
-  if (link.outs.at(id).stage == Link::Stage::queued) settle(link, id, Fate::unused);
+  if (link.outs.at(id).stage == Link::Stage::queued) settle(link, id, SendOutcome::unused);
   rest(link);
 }
 
@@ -198,7 +198,7 @@
   tally_.probes += 1;
   Link* link = link_for(server, {});
   if (link == nullptr || link->probing) {
-    probed.push_back({server, Fate::dial_failed, 0s, {}});
+    probed.push_back({server, SendOutcome::dial_failed, 0s, {}});
     return;
   }
   link->probing = true;
@@ -210,7 +210,7 @@
     if (at == links_.end()) return;
     at->second->probe_expiry.reset();
     doubt(*at->second, at->second->probe_at);
-    end_probe(*at->second, Fate::expired);
+    end_probe(*at->second, SendOutcome::expired);
     rest(*at->second);
   });
   link->pending.push_back({'4', {}});
@@ -506,7 +506,7 @@
         const auto out = link.outs.find(id);
         if (out == link.outs.end()) return true;
         if (takes_more && loop_.now() < out->second.errand.begun_by) return false;
-        settle(link, id, Fate::unused);
+        settle(link, id, SendOutcome::unused);
         return true;
       });
       for (const std::string& id : link.writing.ids) {
@@ -609,17 +609,17 @@
       tally_.odd_frames += 1;
       return drop(link, "an answer for a part that is not out there");
     }
-    const Fate fate = answer->end == 'S'   ? Fate::returned
-                      : answer->end == 'E' ? Fate::app_error
-                                           : Fate::pushed_back;
+    const SendOutcome fate = answer->end == 'S'   ? SendOutcome::returned
+                             : answer->end == 'E' ? SendOutcome::app_error
+                                                  : SendOutcome::pushed_back;
     const std::string id = answer->id;
     settle(link, id, fate, std::move(*answer));
     rest(link);
   } else if (frame.letter == '4' && link.probing && link.probe_written) {
     if (frame.rest == "E") {
-      end_probe(link, Fate::app_error);
+      end_probe(link, SendOutcome::app_error);
     } else {
-      end_probe(link, Fate::returned, read_report(frame.rest, carriage_.report_fields));
+      end_probe(link, SendOutcome::returned, read_report(frame.rest, carriage_.report_fields));
     }
     rest(link);
   } else if (frame.letter == 'X') {
@@ -632,7 +632,7 @@
 }
 
 // A send that is out on this link comes to its end.
-void Servers::settle(Link& link, const std::string& id, Fate fate, PartAnswer answer) {
+void Servers::settle(Link& link, const std::string& id, SendOutcome fate, PartAnswer answer) {
   const auto at = link.outs.find(id);
   Link::Out out = std::move(at->second);
   link.outs.erase(at);
@@ -643,30 +643,30 @@
   end(out.errand, fate, std::move(answer));
 }
 
-void Servers::end(const Errand& errand, Fate fate, PartAnswer answer) {
+void Servers::end(const Errand& errand, SendOutcome fate, PartAnswer answer) {
   static constexpr std::array<const char*, 8> kNames{"returned",    "app_error", "pushed_back", "expired",
                                                      "dial_failed", "dropped",   "revoked",     "unused"};
-  if (fate != Fate::returned)
+  if (fate != SendOutcome::returned)
     log::event(log::Level::debug, "send.ended",
                {{"part", errand.id},
                 {"send", errand.send},
                 {"fate", kNames[static_cast<std::size_t>(fate)]},
                 {"after_ms", (loop_.now() - errand.pulled) / 1ms}});
-  tally_.dial_failed += fate == Fate::dial_failed ? 1 : 0;
-  tally_.dropped += fate == Fate::dropped ? 1 : 0;
-  tally_.expired += fate == Fate::expired ? 1 : 0;
+  tally_.dial_failed += fate == SendOutcome::dial_failed ? 1 : 0;
+  tally_.dropped += fate == SendOutcome::dropped ? 1 : 0;
+  tally_.expired += fate == SendOutcome::expired ? 1 : 0;
   ended.push_back({errand.part, errand.send, fate, loop_.now() - errand.pulled, answer.report, answer.score,
                    std::move(answer.value)});
 }
 
-void Servers::give_up(const SendKey& key, Fate fate) {
+void Servers::give_up(const SendKey& key, SendOutcome fate) {
   const auto at = out_.find(key);
   if (at == out_.end()) return;
   const auto [number, id] = at->second;
   Link& link = *links_.at(number);
   Link::Out& out = link.outs.at(id);
   if (out.stage == Link::Stage::queued) {
-    settle(link, id, Fate::unused);  // not written, and now it never will be
+    settle(link, id, SendOutcome::unused);  // not written, and now it never will be
   } else if (out.stage == Link::Stage::writing) {
     loop_.cancel(out.expiry);
     out_.erase(at);
@@ -695,7 +695,7 @@
   }
 }
 
-void Servers::end_probe(Link& link, Fate fate, LoadReport report) {
+void Servers::end_probe(Link& link, SendOutcome fate, LoadReport report) {
   if (!link.probing) return;
   link.probing = false;
   if (link.probe_expiry) loop_.cancel(*link.probe_expiry);
@@ -750,9 +750,10 @@
   while (!link.runners.empty()) lay_down(link, link.runners.front().number);
   while (!link.outs.empty()) {
     const auto& [id, out] = *link.outs.begin();
-    settle(link, std::string(id), out.stage == Link::Stage::written ? Fate::dropped : Fate::dial_failed);
+    settle(link, std::string(id),
+           out.stage == Link::Stage::written ? SendOutcome::dropped : SendOutcome::dial_failed);
   }
-  end_probe(link, link.probe_written ? Fate::dropped : Fate::dial_failed);
+  end_probe(link, link.probe_written ? SendOutcome::dropped : SendOutcome::dial_failed);
   const auto at = links_.find(link.number);
   if (at == links_.end()) return;
   graves_.push_back(std::move(at->second));
--- a/src/servers/servers.h
+++ b/src/servers/servers.h
@@ -23,7 +23,7 @@
 
 // A send as it is to be carried out.
 struct Errand {
-  Rid part;
+  RequestId part;
   int send = 0;
   std::string id;  // the part's id on the wire
   int shard = 0;
@@ -36,9 +36,9 @@
 };
 
 struct Ended {
-  Rid part;
+  RequestId part;
   int send = 0;
-  Fate fate = Fate::unused;
+  SendOutcome fate = SendOutcome::unused;
   Duration elapsed{};
   LoadReport report;
   double score = 0;
@@ -47,7 +47,7 @@
 
 struct Probed {
   std::string server;
-  Fate fate = Fate::unused;
+  SendOutcome fate = SendOutcome::unused;
   Duration elapsed{};
   LoadReport report;
 };
@@ -71,13 +71,13 @@
   // An entry of a whole list that cannot be read leaves its server as it was.
   void listed(const list::News& news);
   // What the list last said of a server that it has; none: nothing, or not under the present zones and cells.
-  const ListRow* last_row(std::string_view server) const;
+  const ListEntry* last_row(std::string_view server) const;
   // Before the settings name other zones: what is held is numbered anew, by their names.
   void renumber_zones(const std::vector<std::string>& from, const std::vector<std::string>& to);
   // One turn's sends to one server, in one call as far as a call goes.
   void call(const std::string& server, std::vector<Errand> errands);
-  void withdraw(const Rid& part, int send);
-  void unsend(const Rid& part, int send);  // ends it as never sent, if that is still true
+  void withdraw(const RequestId& part, int send);
+  void unsend(const RequestId& part, int send);  // ends it as never sent, if that is still true
   void probe(const std::string& server);
 
   // What has ended since the last time.
@@ -97,7 +97,7 @@
   struct Link;
   struct Runner;
   struct Trial;
-  using SendKey = std::pair<Rid, int>;
+  using SendKey = std::pair<RequestId, int>;
 
   Link* link_for(const std::string& server, const std::vector<Errand>& errands);
   Link* dial(const std::string& server);
@@ -118,10 +118,10 @@
   void heard(Link& link, Frame& frame);
   void broke(Link& link, bool connected);
   void drop(Link& link, const char* why);
-  void settle(Link& link, const std::string& id, Fate fate, PartAnswer answer = {});
-  void end(const Errand& errand, Fate fate, PartAnswer answer = {});
-  void give_up(const SendKey& key, Fate fate);
-  void end_probe(Link& link, Fate fate, LoadReport report = {});
+  void settle(Link& link, const std::string& id, SendOutcome fate, PartAnswer answer = {});
+  void end(const Errand& errand, SendOutcome fate, PartAnswer answer = {});
+  void give_up(const SendKey& key, SendOutcome fate);
+  void end_probe(Link& link, SendOutcome fate, LoadReport report = {});
   void doubt(Link& link, Duration since);
   void rest(Link& link);
   bool up(std::string_view server) const;  // listed, and takes something new
@@ -133,7 +133,7 @@
   const config::Carriage& carriage_;
   std::function<bool()> make_room_;
   addresses::Book book_;
-  std::map<std::string, ListRow, std::less<>> rows_;      // the servers listed, up or draining
+  std::map<std::string, ListEntry, std::less<>> rows_;    // the servers listed, up or draining
   std::map<std::uint64_t, std::unique_ptr<Link>> links_;  // by their number, so in the order of their opening
   std::map<std::uint64_t, std::unique_ptr<Trial>> trials_;
   std::optional<net::Loop::Timer> trial_wake_;
--- a/src/standins/machine.cpp
+++ b/src/standins/machine.cpp
@@ -23,18 +23,18 @@
 
 double Machine::warmth() const {
   if (!started_) return 1;
-  const double age = seconds(loop_.now() - *started_) / seconds(fleet_.cold);
+  const double age = to_seconds(loop_.now() - *started_) / to_seconds(fleet_.cold);
   return age >= 1 ? 1 : fleet_.cold_from + (1 - fleet_.cold_from) * age;
 }
 
 void Machine::take(const Leaf::Given& given) {
   Piece piece{given.wire, 0, given.id, given.shard, given.door, given.first_of_call, false};
   told_.arrived(piece.id, piece.shard, piece.door,
-                told_.work(piece.id, piece.shard).second + (piece.first ? seconds(fleet_.overhead) : 0));
-  if (static_cast<int>(queue_.size()) >= fleet_.queue) return end(piece, 'B', Fate::pushed_back);
+                told_.work(piece.id, piece.shard).second + (piece.first ? to_seconds(fleet_.overhead) : 0));
+  if (static_cast<int>(queue_.size()) >= fleet_.queue) return end(piece, 'B', SendOutcome::pushed_back);
   if (lost(errors)) {
     told_.began(piece.id, piece.shard, piece.door, 0);
-    return end(piece, 'E', Fate::app_error);
+    return end(piece, 'E', SendOutcome::app_error);
   }
   queue_.push_back(std::move(piece));
   fill();
@@ -50,7 +50,7 @@
   }
   const Piece piece = std::move(*at);
   queue_.erase(at);
-  told_.ended(piece.id, piece.shard, piece.door, Fate::revoked);
+  told_.ended(piece.id, piece.shard, piece.door, SendOutcome::revoked);
 }
 
 void Machine::fill() {
@@ -61,7 +61,7 @@
     ran_ += 1;
     told_.began(piece.id, piece.shard, piece.door, 0);
     const double work =
-        told_.work(piece.id, piece.shard).first + (piece.first ? seconds(fleet_.overhead) : 0);
+        told_.work(piece.id, piece.shard).first + (piece.first ? to_seconds(fleet_.overhead) : 0);
     const double time = work * slow / warmth();
     worked_ += time;
     loop_.at(loop_.now() + Duration(static_cast<std::int64_t>(time * 1e6)),
@@ -76,15 +76,18 @@
     return;
   }
   busy_ -= 1;
-  end(piece, 'S', Fate::returned);
+  end(piece, 'S', SendOutcome::returned);
   fill();
 }
 
-void Machine::end(const Piece& piece, char how, Fate fate) {
+void Machine::end(const Piece& piece, char how, SendOutcome fate) {
   const std::string report = "active=" + std::to_string(busy_) + ",waiting=" + std::to_string(queue_.size());
   const bool said = !lost(lose_out) && leaf_.reply(piece.wire, piece.id, how, report);
   const bool given_up = given_up_.erase({piece.wire, piece.id}) > 0;
-  told_.ended(piece.id, piece.shard, piece.door, given_up ? Fate::revoked : said ? fate : Fate::dropped);
+  told_.ended(piece.id, piece.shard, piece.door,
+              given_up ? SendOutcome::revoked
+              : said   ? fate
+                       : SendOutcome::dropped);
   if (busy_ == 0) given_up_.clear();
 }
 
@@ -94,7 +97,7 @@
   life_ += 1;
   busy_ = 0;
   for (const Piece& piece : std::exchange(queue_, {}))
-    told_.ended(piece.id, piece.shard, piece.door, Fate::dropped);
+    told_.ended(piece.id, piece.shard, piece.door, SendOutcome::dropped);
   held_.clear();
   given_up_.clear();
   for (int door = 0; door < leaf_.doors(); ++door) leaf_.set(door, Door::refuses);
--- a/src/standins/machine.h
+++ b/src/standins/machine.h
@@ -20,7 +20,7 @@
   // What becomes of a part, for who keeps the record. `send` is the part's count of arrivals so far.
   struct Told {
     std::function<void(const std::string&id, int shard, int door, double told_work)> arrived, began;
-    std::function<void(const std::string& id, int shard, int door, Fate fate)> ended;
+    std::function<void(const std::string& id, int shard, int door, SendOutcome fate)> ended;
     // Seconds on one core, and as gatherers are told.
     std::function<std::pair<double, double>(const std::string& id, int shard)> work;
   };
@@ -51,7 +51,7 @@
   void gave_up(std::uint64_t wire, const std::string& id);
   void fill();
   void finished(const Piece& piece, std::uint64_t life);
-  void end(const Piece& piece, char how, Fate fate);
+  void end(const Piece& piece, char how, SendOutcome fate);
   double warmth() const;
   bool lost(double share);
 
--- a/src/standins/process.cpp
+++ b/src/standins/process.cpp
@@ -81,7 +81,7 @@
           {"zones", {"a"}}};
 }
 
-json nested(const Terms& terms) {
+json nested(const FlatSettings& terms) {
   json out = json::object();
   for (const auto& [name, term] : terms) {
     json* at = &out;
--- a/src/standins/process.h
+++ b/src/standins/process.h
@@ -21,7 +21,7 @@
 // zone.
 nlohmann::json plain_settings(int shards);
 // Flat terms, with dots and list places as numbers, as the nested object that a configuration holds.
-nlohmann::json nested(const Terms& terms);
+nlohmann::json nested(const FlatSettings& terms);
 
 // The path of a program of this build: beside this one, or, for tests, one folder up.
 std::string program(const std::string& name);
--- a/src/wirehost/main.cpp
+++ b/src/wirehost/main.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-using marbledyke::Choice;
+using marbledyke::DecisionEngine;
 using marbledyke::Duration;
-using marbledyke::Fate;
-using marbledyke::Rid;
-using marbledyke::Standing;
+using marbledyke::RequestId;
+using marbledyke::SendOutcome;
+using marbledyke::ServerStatus;
 using marbledyke::config::BadInput;
 using marbledyke::config::flatten;
 using marbledyke::config::json;
@@ -26,30 +26,30 @@
 using marbledyke::config::whole;
 using marbledyke::config::whole_or;
 
-Rid rid(const json& from) {
+RequestId rid(const json& from) {
   const std::string& id = text(from, "request-id");
-  Rid out;
+  RequestId out;
   if (id.size() != out.text.size()) throw BadInput("request-id: not 16 characters");
   id.copy(out.text.data(), out.text.size());
   return out;
 }
 
-Fate fate(const std::string& rc) {
-  if (rc == "delivered") return Fate::returned;
-  if (rc == "app_error") return Fate::app_error;
-  if (rc == "shed") return Fate::pushed_back;
-  if (rc == "expired") return Fate::expired;
-  if (rc == "dial_failed") return Fate::dial_failed;
-  if (rc == "dropped") return Fate::dropped;
-  if (rc == "revoked") return Fate::revoked;
-  if (rc == "unused") return Fate::unused;
+SendOutcome fate(const std::string& rc) {
+  if (rc == "delivered") return SendOutcome::returned;
+  if (rc == "app_error") return SendOutcome::app_error;
+  if (rc == "shed") return SendOutcome::pushed_back;
+  if (rc == "expired") return SendOutcome::expired;
+  if (rc == "dial_failed") return SendOutcome::dial_failed;
+  if (rc == "dropped") return SendOutcome::dropped;
+  if (rc == "revoked") return SendOutcome::revoked;
+  if (rc == "unused") return SendOutcome::unused;
   throw BadInput("rc: unknown outcome " + rc);
 }
 
-Standing standing(const std::string& readiness) {
-  if (readiness == "U") return Standing::up;
-  if (readiness == "L") return Standing::draining;
-  if (readiness == "D") return Standing::gone;
+ServerStatus standing(const std::string& readiness) {
+  if (readiness == "U") return ServerStatus::up;
+  if (readiness == "L") return ServerStatus::draining;
+  if (readiness == "D") return ServerStatus::gone;
   throw BadInput("readiness: unknown value " + readiness);
 }
 
@@ -59,14 +59,14 @@
   if (at == from.end() || at->is_null()) return out;
   if (!at->is_array()) throw BadInput("load: not an array");
   for (const json& value : *at) {
-    if (out.count == static_cast<int>(out.value.size())) break;
-    out.value[static_cast<std::size_t>(out.count++)] = number(value, "load");
+    if (out.count == static_cast<int>(out.values.size())) break;
+    out.values[static_cast<std::size_t>(out.count++)] = number(value, "load");
   }
   return out;
 }
 
 struct Instance {
-  Choice choice;
+  DecisionEngine choice;
   std::int64_t epoch = 0;
   bool touched = false;
 
@@ -125,18 +125,18 @@
     } else if (type == "Arrival") {
       arrival(msg, to);
     } else if (type == "Finished") {
-      to.choice.send_ended(rid(msg), static_cast<int>(whole(msg, "try")), fate(text(msg, "rc")),
-                           Duration(whole_or(msg, "time-taken", 0)), load(msg));
+      to.choice.on_send_ended(rid(msg), static_cast<int>(whole(msg, "try")), fate(text(msg, "rc")),
+                              Duration(whole_or(msg, "time-taken", 0)), load(msg));
     } else if (type == "Echo") {
-      to.choice.probe_ended(text(msg, "server"), fate(text(msg, "rc")),
-                            Duration(whole_or(msg, "time-taken", 0)), load(msg));
+      to.choice.on_probe_ended(text(msg, "server"), fate(text(msg, "rc")),
+                               Duration(whole_or(msg, "time-taken", 0)), load(msg));
     } else if (type == "Aborted") {
-      to.choice.client_left(rid(msg));
+      to.choice.on_client_left(rid(msg));
     }
   }
 
   void create(std::int64_t who, const json& msg) {
-    marbledyke::Terms terms;
+    marbledyke::FlatSettings terms;
     const json& params = need(msg, "params");
     if (!params.is_object()) throw BadInput("params: not an object");
     flatten(params, "", terms);
@@ -145,7 +145,7 @@
     instances_.erase(who);
     const auto mixed = seed.get<std::uint64_t>();
     const auto made = instances_.emplace(
-        who, Instance{Choice(terms, static_cast<std::uint32_t>(mixed ^ (mixed >> 32))), now_, false});
+        who, Instance{DecisionEngine(terms, static_cast<std::uint32_t>(mixed ^ (mixed >> 32))), now_, false});
     touch(who, made.first->second);
   }
 
@@ -153,88 +153,88 @@
     if (instance.touched) return;
     instance.touched = true;
     touched_.push_back(who);
-    instance.choice.clock(instance.span(now_));
+    instance.choice.advance_clock(instance.span(now_));
   }
 
   void topology(const json& msg, Instance& to) {
     const std::string& kind = text(msg, "kind");
     if (kind == "refused") {
-      to.choice.list_refused(std::chrono::seconds(6));  // the page states no limit; what sockets have
+      to.choice.on_list_call_refused(std::chrono::seconds(6));  // the page states no limit; what sockets have
       return;
     }
     if (kind != "changes" && kind != "all" && kind != "remembered")
       throw BadInput("kind: unknown value " + kind);
     const auto sheet = sheets_.find(whole(msg, "sheet"));
     if (sheet == sheets_.end()) throw BadInput("sheet: none of that number");
-    to.choice.list_opens(kind != "changes", kind == "remembered");
+    to.choice.on_list_begin(kind != "changes", kind == "remembered");
     for (const json& entry : sheet->second) {
-      marbledyke::ListRow row;
+      marbledyke::ListEntry row;
       row.server = text(entry, "server");
       row.zone = static_cast<int>(whole_or(entry, "hall", 0));
       row.cell = static_cast<int>(whole_or(entry, "place", 0));
-      row.standing = standing(text(entry, "readiness"));
+      row.status = standing(text(entry, "readiness"));
       if (entry.contains("power-hint")) row.size = number(entry["power-hint"], "power-hint");
       if (const std::int64_t launched = whole_or(entry, "launched", 0); launched != 0)
         row.started = to.span(launched);
-      to.choice.list_row(row);
+      to.choice.on_list_entry(row);
     }
-    to.choice.list_closes();
+    to.choice.on_list_complete();
   }
 
   void arrival(const json& msg, Instance& to) {
     const double slice = number(need(msg, "slice"), "slice");
     if (slice < 0) {
-      marbledyke::MultigetAsk ask;
+      marbledyke::MultigetRequest ask;
       ask.id = rid(msg);
       ask.number = number(need(msg, "query-no"), "query-no");
       ask.op_type = static_cast<int>(whole_or(msg, "profile", 0));
       ask.customer = static_cast<int>(whole_or(msg, "user-group", 0));
-      ask.parts = static_cast<int>(number(need(msg, "heft"), "heft"));
-      ask.repeated = msg.contains("is-retry") && msg["is-retry"] == true;
-      ask.client_leaves = to.span(whole(msg, "drop-dead"));
-      to.choice.multiget_taken(ask);
+      ask.part_count = static_cast<int>(number(need(msg, "heft"), "heft"));
+      ask.is_retry = msg.contains("is-retry") && msg["is-retry"] == true;
+      ask.client_deadline = to.span(whole(msg, "drop-dead"));
+      to.choice.on_multiget_received(ask);
     } else {
-      marbledyke::PartAsk ask;
+      marbledyke::PartRequest ask;
       ask.id = rid(msg);
-      ask.multiget = number(need(msg, "query-no"), "query-no");
+      ask.multiget_number = number(need(msg, "query-no"), "query-no");
       ask.shard = static_cast<int>(slice);
       ask.weight = number(need(msg, "heft"), "heft");
       ask.key = static_cast<std::uint64_t>(whole_or(msg, "affinity", 0));
-      ask.hint = Duration(whole_or(msg, "cost-guess", 0));
-      to.choice.part_taken(ask);
+      ask.cost_hint = Duration(whole_or(msg, "cost-guess", 0));
+      to.choice.on_part_received(ask);
     }
   }
 
   void tell(std::int64_t who, Instance& from, json& output) {
-    Choice& choice = from.choice;
+    DecisionEngine& choice = from.choice;
     const auto say = [&](const char* type, json fields) {
       fields["type"] = type;
       fields["gatherer"] = who;
       output.push_back(std::move(fields));
     };
-    while (const auto verdict = choice.next_verdict()) {
+    while (const auto verdict = choice.next_reply()) {
       json fields{{"request-id", verdict->multiget.view()}};
-      switch (verdict->ending) {
-        case marbledyke::Ending::answer:
-          fields["complete"] = verdict->whole;
+      switch (verdict->outcome) {
+        case marbledyke::MultigetOutcome::answer:
+          fields["complete"] = verdict->complete;
           say("Answer", std::move(fields));
           break;
-        case marbledyke::Ending::push_back:
-          if (verdict->come_back > Duration::zero()) fields["backoff"] = verdict->come_back.count();
+        case marbledyke::MultigetOutcome::push_back:
+          if (verdict->retry_after > Duration::zero()) fields["backoff"] = verdict->retry_after.count();
           say("Decline", std::move(fields));
           break;
-        case marbledyke::Ending::fail:
+        case marbledyke::MultigetOutcome::fail:
           say("DropRequest", std::move(fields));
           break;
       }
     }
-    while (const auto gone = choice.next_withdrawal()) {
+    while (const auto gone = choice.next_cancellation()) {
       say("Cancel", {{"request-id", gone->part.view()}, {"try", gone->send}});
     }
     while (const auto send = choice.next_send()) {
       say("Send", {{"request-id", send->part.view()},
                    {"server", send->server},
-                   {"not-past", send->not_past.count() + from.epoch}});
+                   {"not-past", send->deadline.count() + from.epoch}});
     }
     while (const auto server = choice.next_probe()) say("Ping", {{"server", *server}});
     while (const auto call = choice.next_list_call()) {
@@ -244,8 +244,9 @@
         say("Resolve", json::object());
       }
     }
-    while (const auto note = choice.next_note()) say("Log", {{"body-text", *note}});
-    while (const auto wake = choice.next_wake()) say("After", {{"from-now", wake->count()}, {"ref", 1}});
+    while (const auto note = choice.next_log_message()) say("Log", {{"body-text", *note}});
+    while (const auto wake = choice.next_wake_delay())
+      say("After", {{"from-now", wake->count()}, {"ref", 1}});
   }
 
   std::int64_t now_ = 0;
--- a/tests/address_rig.cpp
+++ b/tests/address_rig.cpp
@@ -41,7 +41,7 @@
   return out;
 }
 
-const char* name_of(Fate fate) {
+const char* name_of(SendOutcome fate) {
   static constexpr const char* kNames[] = {"returned",    "app_error", "pushed_back", "expired",
                                            "dial_failed", "dropped",   "revoked",     "unused"};
   return kNames[static_cast<std::size_t>(fate)];
@@ -61,11 +61,11 @@
   }
 
   void list(const std::string& server, std::vector<net::Address> addresses,
-            Standing standing = Standing::up) {
+            ServerStatus standing = ServerStatus::up) {
     list::News news;
     list::Entry entry;
     entry.row.server = server;
-    entry.row.standing = standing;
+    entry.row.status = standing;
     entry.addresses = std::move(addresses);
     news.entries.push_back(std::move(entry));
     servers.listed(news);
@@ -84,15 +84,15 @@
     return errand;
   }
 
-  Rid send(const std::string& server, bool once, std::size_t size = 8, Duration patience = 3s) {
+  RequestId send(const std::string& server, bool once, std::size_t size = 8, Duration patience = 3s) {
     servers::Errand errand = errand_of(once, size, patience);
-    const Rid part = errand.part;
+    const RequestId part = errand.part;
     servers.call(server, {std::move(errand)});
     return part;
   }
 
   // Sixteen parts of 64 KiB in one call: a frame that fits no buffer on its way.
-  void send_large(const std::string& server, std::vector<Rid>& parts, Duration patience) {
+  void send_large(const std::string& server, std::vector<RequestId>& parts, Duration patience) {
     std::vector<servers::Errand> call;
     for (int i = 0; i < 16; ++i) {
       call.push_back(errand_of(true, 64 * 1024, patience));
@@ -102,7 +102,7 @@
   }
 
   // Until that part has its fate.
-  servers::Ended wait(const Rid& part) {
+  servers::Ended wait(const RequestId& part) {
     for (;;) {
       for (servers::Ended& ended : servers.ended) {
         if (ended.part != part) continue;
@@ -130,7 +130,7 @@
   long turns = 0;
 };
 
-std::string id_of(const Rid& part) { return std::string(part.view()); }
+std::string id_of(const RequestId& part) { return std::string(part.view()); }
 
 // Three doors of one leaf, in the default order of preference.
 std::vector<net::Address> three_doors(Rig& rig, std::uint32_t number = 1) {
@@ -151,7 +151,7 @@
     const auto doors = three_doors(rig);
     rig.list("A", sole ? std::vector<net::Address>{doors[2]} : doors);
     before(rig);
-    const Rid part = rig.send("A", true, size, 700ms);
+    const RequestId part = rig.send("A", true, size, 700ms);
     if (during) during(rig);
     const servers::Ended ended = rig.wait(part);
     rig.pass(20ms);
@@ -202,12 +202,13 @@
     rig.list("A", at);
     rig.wait(rig.send("A", true));
     rig.leaf.set(0, Door::stalls);
-    std::vector<Rid> parts;
+    std::vector<RequestId> parts;
     rig.send_large("A", parts, 3s);
     partly(rig);
     int never = 0, ran = 0;
-    for (const servers::Ended& ended : rig.servers.ended) never += ended.fate == Fate::dial_failed ? 1 : 0;
-    for (const Rid& part : parts) ran += rig.leaf.runs(id_of(part));
+    for (const servers::Ended& ended : rig.servers.ended)
+      never += ended.fate == SendOutcome::dial_failed ? 1 : 0;
+    for (const RequestId& part : parts) ran += rig.leaf.runs(id_of(part));
     std::printf(
         "a frame of 1 MB partly in the kernel's buffer, then a reset: %d of 16 not connected, ran %d times\n",
         never, ran);
@@ -221,12 +222,12 @@
     rig.list("A", {at[0]});
     rig.wait(rig.send("A", true));
     rig.leaf.set(0, Door::stalls);
-    std::vector<Rid> parts;
+    std::vector<RequestId> parts;
     rig.send_large("A", parts, 300ms);
     rig.pass(400ms);
     std::size_t told = 0;
     for (const servers::Ended& ended : std::exchange(rig.servers.ended, {}))
-      told += ended.fate == Fate::expired ? 1 : 0;
+      told += ended.fate == SendOutcome::expired ? 1 : 0;
     rig.leaf.set(0, Door::open);
     const servers::Ended next = rig.wait(rig.send("A", true));
     rig.leaf.set(0, Door::stalls);
@@ -253,12 +254,14 @@
   one("its server drains while it hangs", doors(Door::hangs, Door::hangs, Door::hangs), false, 8,
       [](Rig& rig) {
         rig.pass(20ms);
-        rig.list("A", {rig.leaf.address(0), rig.leaf.address(1), rig.leaf.address(2)}, Standing::draining);
+        rig.list("A", {rig.leaf.address(0), rig.leaf.address(1), rig.leaf.address(2)},
+                 ServerStatus::draining);
         rig.leaf.set(1, Door::open);
       });
   one("its server drains while it hangs, then its address answers",
       doors(Door::hangs, Door::hangs, Door::hangs), false, 8, [](Rig& rig) {
-        rig.list("A", {rig.leaf.address(0), rig.leaf.address(1), rig.leaf.address(2)}, Standing::draining);
+        rig.list("A", {rig.leaf.address(0), rig.leaf.address(1), rig.leaf.address(2)},
+                 ServerStatus::draining);
         rig.leaf.set(2, Door::open);
       });
 }
@@ -272,12 +275,12 @@
       rig.leaf.set(0, how);
       if (both) rig.leaf.set(1, how);
       rig.list("A", doors);
-      const Rid first = rig.send("A", true);
+      const RequestId first = rig.send("A", true);
       const servers::Ended ended = rig.wait(first);
       rig.leaf.cut_all();
       rig.pass(5ms);
       const auto begun = Clock::now();
-      const Rid second = rig.send("A", true);
+      const RequestId second = rig.send("A", true);
       const servers::Ended then = rig.wait(second);
       const auto took = Clock::now() - begun;
       rig.leaf.set(0, Door::open);
@@ -393,10 +396,10 @@
       const std::string id(ended.part.view());
       Part& part = book.at(id);
       if (--part.open < 0) out.twice_told += 1;
-      const bool never = ended.fate == Fate::dial_failed || ended.fate == Fate::unused;
+      const bool never = ended.fate == SendOutcome::dial_failed || ended.fate == SendOutcome::unused;
       if (never && part.once && runs(id) > 0) out.ran_though_never += 1;
       if (!never) part.may_have_run = true;
-      if (ended.fate == Fate::returned) {
+      if (ended.fate == SendOutcome::returned) {
         out.returned += 1;
         part.done = true;
       } else if (part.sends < 6 && (never || !part.once)) {
@@ -424,7 +427,7 @@
       one.up = !one.up;
       if (!one.up) one.drained = rig.loop.now();
       one.drained_turn = rig.turns;
-      rig.list(name, one.addresses, one.up ? Standing::up : Standing::draining);
+      rig.list(name, one.addresses, one.up ? ServerStatus::up : ServerStatus::draining);
     } else {
       // Other addresses of its own, in another order; at times one that is another server's.
       std::vector<net::Address> now;
@@ -439,7 +442,7 @@
       }
       one.addresses = now;
       one.moved_turn = rig.turns;
-      rig.list(name, now, one.up ? Standing::up : Standing::draining);
+      rig.list(name, now, one.up ? ServerStatus::up : ServerStatus::draining);
     }
   };
   Duration next = rig.loop.now(), next_chaos = rig.loop.now();
--- a/tests/bench_free.h
+++ b/tests/bench_free.h
@@ -11,20 +11,20 @@
 
 using namespace std::chrono_literals;
 
-inline Rid rid(const std::string& name) {
-  Rid id;
+inline RequestId rid(const std::string& name) {
+  RequestId id;
   id.text.fill('0');
   name.copy(id.text.data(), id.text.size());
   return id;
 }
 
-inline std::string plain(const Rid& id) {
+inline std::string plain(const RequestId& id) {
   const std::string text(id.view());
   return text.substr(0, text.find('0'));
 }
 
 // One op type of four shards, each held by all replicas, unless a test says otherwise.
-inline Terms ordinary_terms() {
+inline FlatSettings ordinary_terms() {
   return {{"categories.0.deadline", 4e6},
           {"categories.0.objective", 2e6},
           {"categories.0.effect", std::string("repeatable")},
@@ -50,26 +50,27 @@
 
 class Gatherer {
  public:
-  explicit Gatherer(const Terms& terms) : choice_(terms, 7) { choice_.clock(0ms); }
+  explicit Gatherer(const FlatSettings& terms) : choice_(terms, 7) { choice_.advance_clock(0ms); }
 
-  void list(const std::string& servers, Standing standing = Standing::up,
+  void list(const std::string& servers, ServerStatus standing = ServerStatus::up,
             std::optional<Duration> started = {}) {
-    choice_.list_opens(false, false);
+    choice_.on_list_begin(false, false);
     for (const char server : servers) {
-      ListRow row;
+      ListEntry row;
       row.server = std::string(1, server);
-      row.standing = standing;
+      row.status = standing;
       row.started = started;
-      choice_.list_row(row);
+      choice_.on_list_entry(row);
     }
-    choice_.list_closes();
+    choice_.on_list_complete();
   }
 
   // A multiget with one part for each letter of `parts`, named after both; shards count up from `shard`.
   void take(const std::string& name, const std::string& parts, double hint_ms = 100, int op_type = 0,
             int shard = 0, Duration patience = 4s) {
     const double number = ++number_;
-    choice_.multiget_taken({rid(name), number, op_type, 0, static_cast<int>(parts.size()), now_ + patience});
+    choice_.on_multiget_received(
+        {rid(name), number, op_type, 0, static_cast<int>(parts.size()), now_ + patience});
     more_parts(name, number, parts, hint_ms, shard);
   }
 
@@ -77,52 +78,53 @@
                   int shard) {
     for (const char part : parts) {
       const Duration hint(static_cast<std::int64_t>(hint_ms * 1000));
-      choice_.part_taken(
+      choice_.on_part_received(
           {rid(name + part), number, shard++, 1.0 / static_cast<double>(parts.size()), 0, hint});
       hint_ms *= hints_fall_by;
     }
   }
 
-  void ended(const std::string& part, Fate fate, int send = 0, Duration elapsed = 100ms) {
-    choice_.send_ended(rid(part), send, fate, elapsed, {});
+  void ended(const std::string& part, SendOutcome fate, int send = 0, Duration elapsed = 100ms) {
+    choice_.on_send_ended(rid(part), send, fate, elapsed, {});
   }
 
   // A probe's end; held is what the report says the server holds.
-  void asked(const std::string& server, Fate fate, double held = 0, Duration elapsed = 2ms) {
-    choice_.probe_ended(server, fate, elapsed, {{held, 0, 0, 0}, 1});
+  void asked(const std::string& server, SendOutcome fate, double held = 0, Duration elapsed = 2ms) {
+    choice_.on_probe_ended(server, fate, elapsed, {{held, 0, 0, 0}, 1});
   }
 
   // Prints each decision as it is pulled; gives the server of the last send.
   std::string decide() {
     std::string to;
-    while (const auto v = choice_.next_verdict()) {
-      const char* how = v->ending == Ending::answer      ? (v->whole ? "answer whole" : "answer in part")
-                        : v->ending == Ending::push_back ? "push back"
-                                                         : "fail";
-      tell(std::string(how) + " " + plain(v->multiget) + (v->come_back > 0ms ? ", come back later" : ""));
+    while (const auto v = choice_.next_reply()) {
+      const char* how = v->outcome == MultigetOutcome::answer
+                            ? (v->complete ? "answer whole" : "answer in part")
+                        : v->outcome == MultigetOutcome::push_back ? "push back"
+                                                                   : "fail";
+      tell(std::string(how) + " " + plain(v->multiget) + (v->retry_after > 0ms ? ", come back later" : ""));
     }
-    while (const auto w = choice_.next_withdrawal()) {
+    while (const auto w = choice_.next_cancellation()) {
       tell("withdraw " + plain(w->part) + " send " + std::to_string(w->send));
     }
     while (const auto s = choice_.next_send()) {
       to = s->server;
-      const bool bound = s->begun_by < s->not_past;
+      const bool bound = s->latest_start < s->deadline;
       tell("send " + plain(s->part) + " to " + to +
-           (bound ? ", begun by " + std::to_string(s->begun_by / 1ms) + " ms" : ""));
+           (bound ? ", begun by " + std::to_string(s->latest_start / 1ms) + " ms" : ""));
     }
     while (const auto server = choice_.next_probe()) tell(std::string("ask ").append(*server));
     while (const auto c = choice_.next_list_call())
       tell(*c == ListCall::watch ? "watch the list" : "fetch the list");
-    while (choice_.next_note()) {
+    while (choice_.next_log_message()) {
     }
-    while (choice_.next_wake()) {
+    while (choice_.next_wake_delay()) {
     }
     return to;
   }
 
   void at(Duration now) {
     now_ = now;
-    choice_.clock(now);
+    choice_.advance_clock(now);
   }
 
   // Lets time pass in the steps of a quiet host, printing what is decided on the way.
@@ -141,12 +143,12 @@
     if (!quiet) say(what);
   }
 
-  Choice& choice() { return choice_; }
+  DecisionEngine& choice() { return choice_; }
   double hints_fall_by = 1;
   bool quiet = false;  // keeps decisions from being printed
 
  private:
-  Choice choice_;
+  DecisionEngine choice_;
   Duration now_{};
   double number_ = 0;
 };
--- a/tests/choice_traces.cpp
+++ b/tests/choice_traces.cpp
@@ -32,7 +32,7 @@
     g.at(i * 15s);
     g.take(name, "a");
     g.decide();
-    g.ended(name + "a", Fate::returned, 0, 140ms);
+    g.ended(name + "a", SendOutcome::returned, 0, 140ms);
     g.decide();
   }
 }
@@ -47,7 +47,7 @@
 
 // A replica that swallows one op type and answers the other loses the one and keeps the other.
 void one_op_type_swallowed() {
-  Terms terms = ordinary_terms();
+  FlatSettings terms = ordinary_terms();
   terms["categories.1.deadline"] = 4e6;
   terms["categories.1.objective"] = 1e6;
   terms["categories.1.effect"] = std::string("once");
@@ -59,9 +59,9 @@
     g.say("-- " + name + (i % 2 == 0 ? " non-retriable" : " retriable"));
     g.take(name, "a", 100, i % 2 == 0 ? 1 : 0);
     const std::string to = g.decide();
-    if (i % 2 == 1 || to != "B") g.ended(name + "a", Fate::returned, 0, 140ms);
+    if (i % 2 == 1 || to != "B") g.ended(name + "a", SendOutcome::returned, 0, 140ms);
     g.until(i * 3s + 2s);
-    g.ended(name + "a", Fate::revoked, 0, 2s);
+    g.ended(name + "a", SendOutcome::revoked, 0, 2s);
   }
 }
 
@@ -73,7 +73,7 @@
   silent.take("m", "ab", 100, 0, 0, 3s);
   silent.decide();
   silent.until(3200ms);
-  silent.ended("ma", Fate::dropped);
+  silent.ended("ma", SendOutcome::dropped);
   silent.decide();
   Gatherer empty(ordinary_terms());
   empty.take("n", "a", 100, 0, 0, 1s);
@@ -83,13 +83,13 @@
 
 // Rule 2: what may have run is not sent again, nor pushed back; what is proven not to have run is sent again.
 void rule_no_effect_twice() {
-  Terms terms = ordinary_terms();
+  FlatSettings terms = ordinary_terms();
   terms["categories.0.effect"] = std::string("once");
   terms["categories.1.deadline"] = 4e6;
   terms["categories.1.effect"] = std::string("by_key");
   terms["categories.1.key-ttl"] = 1e6;
-  for (const Fate fate :
-       {Fate::pushed_back, Fate::dial_failed, Fate::app_error, Fate::dropped, Fate::expired}) {
+  for (const SendOutcome fate : {SendOutcome::pushed_back, SendOutcome::dial_failed, SendOutcome::app_error,
+                                 SendOutcome::dropped, SendOutcome::expired}) {
     Gatherer g(terms);
     g.say("-- fate " + std::to_string(static_cast<int>(fate)));
     g.list("AB");
@@ -106,7 +106,7 @@
     g.take("m", "a", 600, 1);
     g.decide();
     g.at(late);
-    g.ended("ma", Fate::app_error);
+    g.ended("ma", SendOutcome::app_error);
     g.decide();
   }
 }
@@ -115,13 +115,13 @@
 void rule_drains() {
   Gatherer g(ordinary_terms());
   g.list("ABC");
-  g.list("A", Standing::draining);
-  g.list("B", Standing::gone);
+  g.list("A", ServerStatus::draining);
+  g.list("B", ServerStatus::gone);
   g.take("m", "abcd");
   g.decide();
-  g.choice().list_opens(true, false);
-  g.choice().list_row({"A", 0, 0, Standing::up, 1, {}});
-  g.choice().list_closes();
+  g.choice().on_list_begin(true, false);
+  g.choice().on_list_entry({"A", 0, 0, ServerStatus::up, 1, {}});
+  g.choice().on_list_complete();
   g.at(10ms);
   g.take("n", "abcd");
   g.decide();
@@ -132,7 +132,7 @@
   Gatherer g(ordinary_terms());
   g.quiet = true;
   g.list("A");
-  g.list("B", Standing::up, 0ms);
+  g.list("B", ServerStatus::up, 0ms);
   int sent = 0;
   for (int i = 0; i < 480; ++i) {
     g.at(i * 25ms);
@@ -141,7 +141,7 @@
     g.take(name, "p", 60);
     const std::string to = g.decide();
     sent += to == "B" ? 1 : 0;
-    g.ended(name + "p", Fate::returned, 0, 100ms);
+    g.ended(name + "p", SendOutcome::returned, 0, 100ms);
     g.decide();
     if (i % 40 == 39) {
       g.say("sent to the cold one in this second: " + std::to_string(sent));
@@ -153,7 +153,7 @@
 // Rule 5: no answer under the floor, none marked whole that is not; a part counts once, and the second step
 // by itself.
 void rule_honest() {
-  Terms terms = ordinary_terms();
+  FlatSettings terms = ordinary_terms();
   terms["specifics.class-floor.0"] = 0.5;
   terms["specifics.short-worth.0"] = 0.9;
   Gatherer g(terms);
@@ -161,25 +161,25 @@
   g.take("m", "abcd");
   g.take("n", "abcd");
   g.decide();
-  for (const char* part : {"ma", "mb", "na", "na"}) g.ended(part, Fate::returned);
+  for (const char* part : {"ma", "mb", "na", "na"}) g.ended(part, SendOutcome::returned);
   g.until(4s);
-  Terms two = ordinary_terms();
+  FlatSettings two = ordinary_terms();
   two["specifics.second-step.0"] = 2.0;
   Gatherer h(two);
   h.list("AB");
   h.take("o", "ab");
   h.decide();
-  h.ended("oa", Fate::returned);
-  h.ended("ob", Fate::returned);
+  h.ended("oa", SendOutcome::returned);
+  h.ended("ob", SendOutcome::returned);
   h.at(200ms);
   h.decide();
   h.at(205ms);
   h.more_parts("o", 1, "xy", 50, 0);
   h.decide();
-  h.ended("ox", Fate::returned);
+  h.ended("ox", SendOutcome::returned);
   h.at(300ms);
   h.decide();
-  h.ended("oy", Fate::returned);
+  h.ended("oy", SendOutcome::returned);
   h.at(310ms);
   h.decide();
 }
@@ -187,7 +187,7 @@
 // A part that can neither return nor be sent again ends its multiget, unless the rest can still make an
 // answer.
 void lost_parts() {
-  Terms terms = ordinary_terms();
+  FlatSettings terms = ordinary_terms();
   terms["categories.0.effect"] = std::string("once");
   terms["specifics.class-floor.0"] = 0.5;
   for (const int errors : {1, 3}) {
@@ -196,13 +196,14 @@
     g.list("AB");
     g.take("m", "abcd");
     g.decide();
-    for (int i = 0; i < errors; ++i) g.ended(std::string("m") + static_cast<char>('a' + i), Fate::app_error);
+    for (int i = 0; i < errors; ++i)
+      g.ended(std::string("m") + static_cast<char>('a' + i), SendOutcome::app_error);
     g.at(50ms);
     g.decide();
-    g.ended("md", Fate::returned);
+    g.ended("md", SendOutcome::returned);
     g.at(100ms);
     g.decide();
-    g.ended("mc", Fate::returned);
+    g.ended("mc", SendOutcome::returned);
     g.at(150ms);
     g.decide();
   }
@@ -222,9 +223,9 @@
     g.take(name, "p", 60);
     const std::string to = g.decide();
     tried += to == "B" ? 1 : 0;
-    g.ended(name + "p", to == "B" ? Fate::dial_failed : Fate::returned, 0, 100ms);
+    g.ended(name + "p", to == "B" ? SendOutcome::dial_failed : SendOutcome::returned, 0, 100ms);
     g.decide();
-    g.ended(name + "p", Fate::returned, 1, 100ms);
+    g.ended(name + "p", SendOutcome::returned, 1, 100ms);
     g.decide();
     if (i % 60 == 59) {
       g.say("sent to the lost one in these 3 s: " + std::to_string(tried));
@@ -240,18 +241,18 @@
   g.list("A");
   g.take("m", "p", 100, 0, 0, 1000s);
   g.decide();
-  g.list("A", Standing::gone);
-  g.list("Z", Standing::draining);
-  const auto listed = [&](int i, Standing standing) {
-    g.choice().list_opens(false, false);
-    g.choice().list_row({"s" + std::to_string(i), 0, 0, standing, 1, {}});
-    g.choice().list_closes();
+  g.list("A", ServerStatus::gone);
+  g.list("Z", ServerStatus::draining);
+  const auto listed = [&](int i, ServerStatus standing) {
+    g.choice().on_list_begin(false, false);
+    g.choice().on_list_entry({"s" + std::to_string(i), 0, 0, standing, 1, {}});
+    g.choice().on_list_complete();
   };
   for (int i = 0; i < 300; ++i) {
     g.at(1s * (i + 1));
-    listed(i, Standing::up);
-    if (i > 1) listed(i - 2, Standing::gone);
-    if (i % 100 == 99) g.say("servers known: " + std::to_string(g.choice().servers_known()));
+    listed(i, ServerStatus::up);
+    if (i > 1) listed(i - 2, ServerStatus::gone);
+    if (i % 100 == 99) g.say("servers known: " + std::to_string(g.choice().known_server_count()));
   }
   g.list("A");
   g.take("n", "p", 100, 0, 0, 1000s);
@@ -274,9 +275,10 @@
     sent[to] += 1;
     const bool sick = i >= 100 && i < 300;
     const bool fails = sick && to == "A" && i % 2 == 0;
-    g.ended(name + "p", fails ? Fate::app_error : Fate::returned, 0, sick && to == "B" ? 1000ms : 100ms);
+    g.ended(name + "p", fails ? SendOutcome::app_error : SendOutcome::returned, 0,
+            sick && to == "B" ? 1000ms : 100ms);
     g.decide();
-    g.ended(name + "p", Fate::returned, 1, 100ms);
+    g.ended(name + "p", SendOutcome::returned, 1, 100ms);
     g.decide();
     if (i % 100 == 99) {
       g.say("A " + std::to_string(sent["A"]) + " B " + std::to_string(sent["B"]) + " C " +
@@ -306,14 +308,14 @@
 // A deploy is no jam: with only cold replicas left, an ordinary multiget is taken on, not pushed back.
 void cold_is_no_jam() {
   Gatherer g(ordinary_terms());
-  g.list("AB", Standing::up, 0ms);
+  g.list("AB", ServerStatus::up, 0ms);
   g.take("m", "a", 700);
   g.decide();
 }
 
 // Rule 6: further sends stay within the stated budget: here one, and a tenth of the three taken.
 void rule_budget() {
-  Terms terms = ordinary_terms();
+  FlatSettings terms = ordinary_terms();
   terms["contract.resend-span"] = 10e6;
   terms["contract.extra-floor"] = 1.0;
   terms["contract.extra-per-request"] = 0.1;
@@ -322,31 +324,31 @@
   g.take("m", "ab");
   g.decide();
   g.at(50ms);
-  g.ended("ma", Fate::app_error);
-  g.ended("mb", Fate::app_error);
+  g.ended("ma", SendOutcome::app_error);
+  g.ended("mb", SendOutcome::app_error);
   g.decide();
 }
 
 // A list that must be asked for: watched at once, again after a refusal and a spread-out wait.
 void list_asked() {
-  Terms terms = ordinary_terms();
+  FlatSettings terms = ordinary_terms();
   terms["registry-mode"] = std::string("ask");
   terms["contract.ask-every"] = 10e6;
   Gatherer g(terms);
   g.decide();
   g.until(1s);
-  g.choice().list_refused(3s);
+  g.choice().on_list_call_refused(3s);
   g.until(3s);
   g.list("A");
   g.until(30s);
-  g.choice().list_refused(3s);
+  g.choice().on_list_call_refused(3s);
   g.until(31s);
 }
 
 // Before parts are placed their replicas are asked: a loaded one and a silent one are passed over. Where a
 // probe's price outweighs what is missed, nothing is asked.
 void looks() {
-  Terms terms = ordinary_terms();
+  FlatSettings terms = ordinary_terms();
   terms["limits.probing"] = true;
   terms["telemetry.fields.0"] = std::string("active");
   Gatherer g(terms);
@@ -354,8 +356,8 @@
   g.take("m", "a");
   g.decide();
   g.at(5ms);
-  g.asked("A", Fate::returned, 0);
-  g.asked("B", Fate::returned, 9);
+  g.asked("A", SendOutcome::returned, 0);
+  g.asked("B", SendOutcome::returned, 9);
   g.decide();
   g.until(60ms);
   terms["prices.probe"] = 5.0;
@@ -376,7 +378,7 @@
   g.take("m", parts, 20);
   g.decide();
   g.at(5ms);
-  for (const char part : parts) g.ended({'m', part}, Fate::dropped, 0, 5ms);
+  for (const char part : parts) g.ended({'m', part}, SendOutcome::dropped, 0, 5ms);
   g.quiet = false;
   g.decide();
 }
@@ -385,25 +387,25 @@
 // where all of them have parts for it all the time, one that has sent waits until its share makes up the next
 // send.
 void cold_turns() {
-  Terms terms = ordinary_terms();
+  FlatSettings terms = ordinary_terms();
   terms["replicas-of-me"] = 100.0;
   std::array<int, 4> sent{};
   for (unsigned seed = 1; seed <= 100; ++seed) {
-    Choice choice(terms, seed);
-    choice.clock(0ms);
-    choice.list_opens(false, false);
-    ListRow row;
+    DecisionEngine choice(terms, seed);
+    choice.advance_clock(0ms);
+    choice.on_list_begin(false, false);
+    ListEntry row;
     row.server = std::string(1, 'A');
     row.started = 0ms;
-    choice.list_row(row);
-    choice.list_closes();
+    choice.on_list_entry(row);
+    choice.on_list_complete();
     for (std::size_t window = 0; window < sent.size(); ++window) {
       const std::string name(1, static_cast<char>('m' + window));
       const Duration now = static_cast<std::int64_t>(window) * 1001ms;
-      choice.clock(now);
-      choice.multiget_taken({rid(name), static_cast<double>(window + 1), 0, 0, 1, now + 4s});
-      choice.part_taken({rid(name + "a"), static_cast<double>(window + 1), 0, 1.0, 0, 100ms});
-      while (choice.next_verdict()) {
+      choice.advance_clock(now);
+      choice.on_multiget_received({rid(name), static_cast<double>(window + 1), 0, 0, 1, now + 4s});
+      choice.on_part_received({rid(name + "a"), static_cast<double>(window + 1), 0, 1.0, 0, 100ms});
+      while (choice.next_reply()) {
       }
       while (choice.next_send()) sent[window] += 1;
     }
@@ -416,7 +418,7 @@
 // part again: not at all once the window of a deduped one is over. An answer that crosses the withdrawal
 // counts.
 void moved_not_copied() {
-  Terms terms = ordinary_terms();
+  FlatSettings terms = ordinary_terms();
   terms["limits.second-copies"] = false;
   terms["categories.0.effect"] = std::string("by_key");
   terms["categories.0.key-ttl"] = 2e6;
@@ -429,7 +431,7 @@
     g.until(end);
     g.at(end + 5ms);
     g.say("-- the withdrawn send has ended");
-    g.ended("ma", Fate::revoked, 0, end);
+    g.ended("ma", SendOutcome::revoked, 0, end);
     g.decide();
   }
   Gatherer g(terms);
@@ -439,14 +441,14 @@
   g.until(1500ms);
   g.at(1505ms);
   g.say("-- its answer was under way");
-  g.ended("ma", Fate::returned, 0, 1500ms);
+  g.ended("ma", SendOutcome::returned, 0, 1500ms);
   g.decide();
 }
 
 // A replica that is overdue is asked. One that answers has much to do and keeps the part; one that is silent
 // to that as well loses it.
 void silence_moves() {
-  Terms terms = ordinary_terms();
+  FlatSettings terms = ordinary_terms();
   terms["limits.second-copies"] = false;
   terms["limits.probing"] = true;
   terms["prices.probe"] = 1.0;
@@ -457,14 +459,14 @@
     g.take("m", "a");
     const std::string to = g.decide();
     g.until(450ms);
-    if (answers) g.asked(to, Fate::returned, 4);
+    if (answers) g.asked(to, SendOutcome::returned, 4);
     g.until(700ms);
   }
 }
 
 // What may be answered in part is, before the latency budget is over: a late answer is worth little.
 void partial_in_time() {
-  Terms terms = ordinary_terms();
+  FlatSettings terms = ordinary_terms();
   terms["specifics.class-floor.0"] = 0.7;
   terms["specifics.short-worth.0"] = 0.9;
   terms["categories.0.objective"] = 1e6;
@@ -475,7 +477,8 @@
     g.take("m", "abcd");
     g.decide();
     g.quiet = true;
-    for (int i = 0; i < in; ++i) g.ended(std::string("m") + static_cast<char>('a' + i), Fate::returned);
+    for (int i = 0; i < in; ++i)
+      g.ended(std::string("m") + static_cast<char>('a' + i), SendOutcome::returned);
     g.until(970ms);
     g.quiet = false;
     g.until(1010ms);
@@ -485,18 +488,18 @@
 // One part that none can return soon pushes a multiget back only where an answer needs it.
 void expected_for_an_answer() {
   for (const double floor : {0.7, 1.0}) {
-    Terms terms = ordinary_terms();
+    FlatSettings terms = ordinary_terms();
     terms["specifics.class-floor.0"] = floor;
     terms["specifics.short-worth.0"] = 0.9;
     terms["specifics.sets"] = 4.0;
     Gatherer g(terms);
     for (int cell = 0; cell < 3; ++cell) {  // nobody is up in the last one
-      ListRow row;
+      ListEntry row;
       row.server = std::string(1, static_cast<char>('A' + cell));
       row.cell = cell;
-      g.choice().list_opens(false, false);
-      g.choice().list_row(row);
-      g.choice().list_closes();
+      g.choice().on_list_begin(false, false);
+      g.choice().on_list_entry(row);
+      g.choice().on_list_complete();
     }
     g.take("m", "abcd");
     g.decide();
@@ -506,7 +509,7 @@
 // A customer's share is split by the traffic that a gatherer has: one that takes four times the mean does not
 // push back what is inside the customers' shares. In a jam, what is beyond goes first.
 void shares_by_traffic() {
-  Terms terms = ordinary_terms();
+  FlatSettings terms = ordinary_terms();
   terms["over-share-worth"] = 0.1;
   terms["replicas-of-me"] = 8.0;
   for (int i = 0; i < 2; ++i) {
@@ -525,13 +528,13 @@
       const std::string name =
           std::string("m") + static_cast<char>('a' + i / 20) + static_cast<char>('a' + i % 20);
       const int customer = i % 4 < of_one ? 0 : 1;
-      g.choice().multiget_taken({rid(name), 1000.0 + i, 0, customer, 1, start + 4s});
-      g.choice().part_taken({rid(name + 'a'), 1000.0 + i, 0, 1.0, 0, 100ms});
-      while (const auto v = g.choice().next_verdict())
-        back[customer] += v->ending == Ending::push_back ? 1 : 0;
+      g.choice().on_multiget_received({rid(name), 1000.0 + i, 0, customer, 1, start + 4s});
+      g.choice().on_part_received({rid(name + 'a'), 1000.0 + i, 0, 1.0, 0, 100ms});
+      while (const auto v = g.choice().next_reply())
+        back[customer] += v->outcome == MultigetOutcome::push_back ? 1 : 0;
       g.decide();
       g.at(start + 700ms);
-      g.ended(name + 'a', Fate::returned, 0, 700ms);
+      g.ended(name + 'a', SendOutcome::returned, 0, 700ms);
       g.decide();
     }
     std::printf("%d of 4 are of one: pushed back %d of one, %d of two\n", of_one, back[0], back[1]);
@@ -542,8 +545,8 @@
 // stay out together where that is no longer allowed, and what was sent counts against the new budget. The way
 // back is the same step. Terms that make no sense change nothing.
 void renewed() {
-  Terms before = ordinary_terms();
-  Terms after = before;
+  FlatSettings before = ordinary_terms();
+  FlatSettings after = before;
   after["limits.second-copies"] = false;
   after["categories.0.effect"] = std::string("once");
   after["categories.0.objective"] = 1e6;
@@ -561,45 +564,45 @@
   g.take("m", "a");
   g.take("o", "a", 100, 0, 1);
   g.decide();
-  g.ended("oa", Fate::app_error);
+  g.ended("oa", SendOutcome::app_error);
   g.until(600ms);
-  Terms senseless = after;
+  FlatSettings senseless = after;
   senseless["limits.attempts-cap"] = 0.0;
   try {
-    g.choice().renew(senseless);
+    g.choice().update_settings(senseless);
   } catch (const std::invalid_argument& wrong) {
     g.say(std::string("refused: ") + wrong.what());
   }
-  g.choice().renew(after);
+  g.choice().update_settings(after);
   g.say("-- new terms");
   g.decide();
-  ListRow row;
+  ListEntry row;
   row.server = "C";
   row.cell = 1;
-  g.choice().list_opens(false, false);
-  g.choice().list_row(row);
-  g.choice().list_closes();
+  g.choice().on_list_begin(false, false);
+  g.choice().on_list_entry(row);
+  g.choice().on_list_complete();
   g.at(620ms);
-  g.ended("ma", Fate::revoked, 0, 620ms);
+  g.ended("ma", SendOutcome::revoked, 0, 620ms);
   g.take("n", "ab", 100, 1);
   g.take("u", "a", 100, 0);
   g.decide();
   g.at(700ms);
   g.say("-- errors: of one in hand since before, of one of the new terms, of one that is not to be repeated");
-  for (const char* part : {"oa", "na", "ua"}) g.ended(part, Fate::app_error, *part == 'o' ? 1 : 0);
+  for (const char* part : {"oa", "na", "ua"}) g.ended(part, SendOutcome::app_error, *part == 'o' ? 1 : 0);
   g.decide();
-  g.choice().renew(before);
+  g.choice().update_settings(before);
   g.at(800ms);
   g.say("-- the way back");
   g.decide();
   g.at(900ms);
-  g.ended("oa", Fate::returned, 2);
-  g.ended("nb", Fate::returned);
-  g.ended("ma", Fate::returned, 1);
+  g.ended("oa", SendOutcome::returned, 2);
+  g.ended("nb", SendOutcome::returned);
+  g.ended("ma", SendOutcome::returned, 1);
   g.take("p", "a");
   g.decide();
   g.at(950ms);
-  g.ended("pa", Fate::returned);
+  g.ended("pa", SendOutcome::returned);
   g.until(1700ms);
 }
 
@@ -611,15 +614,15 @@
   g.take("m", "a");
   for (int i = 0, send = 0; i < 100; ++i) {
     g.at(i * 10ms);
-    if (g.decide() != "") g.ended("ma", Fate::dial_failed, send++, 1ms);
+    if (g.decide() != "") g.ended("ma", SendOutcome::dial_failed, send++, 1ms);
   }
 }
 
 // What a cold server may be sent follows what warm ones answer for. Sends that found nobody there, many a
 // second while servers are away, say nothing of what a server carries.
 void cold_share_by_answers() {
-  for (const Fate fate : {Fate::returned, Fate::dial_failed}) {
-    Terms terms = ordinary_terms();
+  for (const SendOutcome fate : {SendOutcome::returned, SendOutcome::dial_failed}) {
+    FlatSettings terms = ordinary_terms();
     terms["replicas-of-me"] = 1000.0;
     terms["categories.0.deadline"] = 40e6;
     terms["categories.0.objective"] = 40e6;
@@ -634,16 +637,16 @@
       g.decide();
       g.ended(name + "a", fate, 0, 1ms);
     }
-    g.list("A", Standing::gone);
-    g.list("B", Standing::up, 4s);
+    g.list("A", ServerStatus::gone);
+    g.list("B", ServerStatus::up, 4s);
     int sent = 0;
     g.at(4s);
     g.take("n", "abcd", 100, 0, 0, 40s);
-    while (g.choice().next_verdict()) {
+    while (g.choice().next_reply()) {
     }
     while (const auto send = g.choice().next_send()) sent += plain(send->part)[0] == 'n' ? 1 : 0;
     std::printf("to a cold server, once others %s: %d\n",
-                fate == Fate::returned ? "answered" : "were not there", sent);
+                fate == SendOutcome::returned ? "answered" : "were not there", sent);
   }
 }
 
