--- a/tests/cold_traces.cpp
+++ b/tests/cold_traces.cpp
@@ -35,38 +35,38 @@
 struct Later {
   Duration at{};
   int gatherer = 0;
-  Rid part;
+  RequestId part;
   int send = 0;
   bool operator>(const Later& other) const { return at > other.at; }
 };
 
 std::pair<long, long> fleet(int gatherers, const Traffic& traffic, bool told = true) {
-  Terms terms = ordinary_terms();
+  FlatSettings terms = ordinary_terms();
   terms["specifics.overhead"] = 0.0;
   terms["specifics.sets"] = static_cast<double>(kCells);
   terms["specifics.slabs"] = static_cast<double>(kShards);
   terms["contract.cold"] = 12e6;
   terms["contract.cold-from"] = kColdFrom;
-  terms["contract.overload-for"] = micros(kWindow);
+  terms["contract.overload-for"] = to_micros(kWindow);
   terms["limits.max-open"] = 1000.0;
   terms["replicas-of-me"] = static_cast<double>(gatherers);
   std::mt19937 chance(17);
-  std::vector<Choice> fleet;
+  std::vector<DecisionEngine> fleet;
   for (int g = 0; g < gatherers; ++g) fleet.emplace_back(terms, static_cast<std::uint32_t>(g + 1));
   const auto name_of = [](int server) { return "s" + std::to_string(server); };
   const auto list = [&](Duration now) {
-    for (Choice& one : fleet) {
-      one.list_opens(true, false);
+    for (DecisionEngine& one : fleet) {
+      one.on_list_begin(true, false);
       for (int s = 0; s < kCells * kOfCell; ++s) {
-        ListRow row;
+        ListEntry row;
         row.server = name_of(s);
         row.cell = s / kOfCell;
-        row.standing = Standing::up;
+        row.status = ServerStatus::up;
         // Half of each cell start anew, the servers of the first cell together.
         if (now >= kStart && s % kOfCell < 2) row.started = kStart;
-        one.list_row(row);
+        one.on_list_entry(row);
       }
-      one.list_closes();
+      one.on_list_complete();
     }
   };
   // Two cores each; loaded to three in ten, so that the warm ones could carry all of it.
@@ -83,24 +83,26 @@
   long windows = 0, over_chance = 0;
   double most = -1e9, room_then = 0;
   const auto decide = [&](int g) {
-    Choice& one = fleet[static_cast<std::size_t>(g)];
-    while (one.next_verdict()) {
+    DecisionEngine& one = fleet[static_cast<std::size_t>(g)];
+    while (one.next_reply()) {
     }
-    while (const auto w = one.next_withdrawal()) later.push({now + 1ms, g, w->part, w->send});
+    while (const auto w = one.next_cancellation()) later.push({now + 1ms, g, w->part, w->send});
     while (const auto s = one.next_send()) {
       const int server = std::stoi(std::string(s->server).substr(1));
       const bool cold = server % kOfCell < 2 && now >= kStart && now < kStart + kCold;
-      const double warm = cold ? kColdFrom + (1 - kColdFrom) * seconds(now - kStart) / seconds(kCold) : 1;
+      const double warm =
+          cold ? kColdFrom + (1 - kColdFrom) * to_seconds(now - kStart) / to_seconds(kCold) : 1;
       auto& cores = busy_until[static_cast<std::size_t>(server)];
       Duration& core = *std::min_element(cores.begin(), cores.end());
-      core = std::max(core, now) + span(kWork * (0.8 + 0.4 * even(chance)) / warm);
+      core = std::max(core, now) + from_micros(kWork * (0.8 + 0.4 * even(chance)) / warm);
       later.push({core, g, s->part, 0});
       if (!cold) continue;
       auto& at = cold_sends[static_cast<std::size_t>(server)];
       at.push_back(now);
       // What the terms allow it: a multiple of what it does in the window, as warm as it was when that began.
-      const double age = std::max(seconds(now - kWindow - kStart), 0.0) / seconds(kCold);
-      const double room = kMultiple * (kColdFrom + (1 - kColdFrom) * age) * micros(kWindow) * kCores / kWork;
+      const double age = std::max(to_seconds(now - kWindow - kStart), 0.0) / to_seconds(kCold);
+      const double room =
+          kMultiple * (kColdFrom + (1 - kColdFrom) * age) * to_micros(kWindow) * kCores / kWork;
       double sum = 0;
       for (const Duration sent : at) sum += now - sent <= kWindow ? 1 : 0;
       ++windows;
@@ -109,12 +111,12 @@
     }
     while (one.next_probe()) {
     }
-    while (one.next_note()) {
+    while (one.next_log_message()) {
     }
-    while (one.next_wake()) {
+    while (one.next_wake_delay()) {
     }
   };
-  for (Choice& one : fleet) one.clock(0ms);
+  for (DecisionEngine& one : fleet) one.advance_clock(0ms);
   list(0ms);
   bool started = false;
   while (now < kEnd) {
@@ -122,19 +124,19 @@
     if (now >= kStart && !std::exchange(started, true)) list(now);
     std::vector<bool> touched(static_cast<std::size_t>(gatherers));
     const auto turn = [&](int g) {
-      if (!touched[static_cast<std::size_t>(g)]) fleet[static_cast<std::size_t>(g)].clock(now);
+      if (!touched[static_cast<std::size_t>(g)]) fleet[static_cast<std::size_t>(g)].advance_clock(now);
       touched[static_cast<std::size_t>(g)] = true;
     };
     while (!later.empty() && later.top().at <= now) {
       const Later it = later.top();
       later.pop();
       turn(it.gatherer);
-      fleet[static_cast<std::size_t>(it.gatherer)].send_ended(it.part, it.send, Fate::returned, span(kWork),
-                                                              {});
+      fleet[static_cast<std::size_t>(it.gatherer)].on_send_ended(it.part, it.send, SendOutcome::returned,
+                                                                 from_micros(kWork), {});
     }
     while (next <= now) {
-      next +=
-          span(-std::log(1 - even(chance)) * 1e6 / (parts_a_second * (now >= kStart ? traffic.surge : 1)));
+      next += from_micros(-std::log(1 - even(chance)) * 1e6 /
+                          (parts_a_second * (now >= kStart ? traffic.surge : 1)));
       const int g = whose(chance);
       const bool first = even(chance) < traffic.skew;
       const int shard = first ? static_cast<int>(even(chance) * kShards / kCells) * kCells
@@ -142,13 +144,13 @@
       turn(g);
       char text[17];
       std::snprintf(text, sizeof text, "%08x00000000", ++number);
-      Rid id, part;
+      RequestId id, part;
       std::copy_n(text, 16, id.text.begin());
       std::snprintf(text, sizeof text, "%08x00000001", number);
       std::copy_n(text, 16, part.text.begin());
-      Choice& one = fleet[static_cast<std::size_t>(g)];
-      one.multiget_taken({id, static_cast<double>(number), 0, -1, 1, now + 4s, false});
-      one.part_taken({part, static_cast<double>(number), shard, 1.0, 0, span(kWork)});
+      DecisionEngine& one = fleet[static_cast<std::size_t>(g)];
+      one.on_multiget_received({id, static_cast<double>(number), 0, -1, 1, now + 4s, false});
+      one.on_part_received({part, static_cast<double>(number), shard, 1.0, 0, from_micros(kWork)});
     }
     for (int g = 0; g < gatherers; ++g) {
       if (touched[static_cast<std::size_t>(g)] || now % 10ms == 0ms) {
--- a/tests/crossing_traces.cpp
+++ b/tests/crossing_traces.cpp
@@ -450,7 +450,7 @@
   say(full.heard().find("other.1") != std::string::npos ? "the other part is written" : "NOTHING IS WRITTEN");
   say(full.heard().find("repeat.1") == std::string::npos ? "the repeat is not" : "THE REPEAT IS WRITTEN");
   for (const servers::Ended& one : servers.ended)
-    say(one.fate == Fate::unused ? "it ends as never sent" : "IT ENDS OTHERWISE");
+    say(one.fate == SendOutcome::unused ? "it ends as never sent" : "IT ENDS OTHERWISE");
 }
 
 // A close in the very round in which an answer frees a part, and one while a part rests before it goes round
--- a/tests/emulator_traces.cpp
+++ b/tests/emulator_traces.cpp
@@ -133,7 +133,7 @@
     s.faults = {f};
     long by_followers = 0;
     std::map<What, long> seen;
-    std::map<Fate, long> told;
+    std::map<SendOutcome, long> told;
     options.tamper = [&](checker::Event& event) {
       seen[event.what] += 1;
       if (event.what == What::told) told[event.fate] += 1;
@@ -174,7 +174,7 @@
       felt = r.p90 > base.p90 + 40ms;
       how = "answers come later";
     } else if (kind == FaultKind::path_reset) {
-      felt = told[Fate::dropped] > 0;
+      felt = told[SendOutcome::dropped] > 0;
       how = "what is out on broken connections is dropped";
     } else if (kind == FaultKind::kill_keeper || kind == FaultKind::pause_keeper ||
                kind == FaultKind::keeper_clock) {
@@ -184,16 +184,16 @@
       felt = r.seconds[6].asked > 2 * base.seconds[6].asked;
       how = "three times as much is asked";
     } else if (kind == FaultKind::errors) {
-      felt = told[Fate::app_error] > 50;
+      felt = told[SendOutcome::app_error] > 50;
       how = "sends end in errors";
     } else if (kind == FaultKind::crash) {
-      felt = told[Fate::dropped] > 0 && told[Fate::dial_failed] > 10;
+      felt = told[SendOutcome::dropped] > 0 && told[SendOutcome::dial_failed] > 10;
       how = "connections break, new ones are refused";
     }
     std::printf("%s: %s%s\n", scenario::name_of(kind), felt ? "" : "NOT FELT: ", how);
     if (!felt)
-      std::printf("  lost %.3f, errors %ld, dropped %ld, refused %ld\n", lost, told[Fate::app_error],
-                  told[Fate::dropped], told[Fate::dial_failed]);
+      std::printf("  lost %.3f, errors %ld, dropped %ld, refused %ld\n", lost, told[SendOutcome::app_error],
+                  told[SendOutcome::dropped], told[SendOutcome::dial_failed]);
   }
 }
 
@@ -248,14 +248,14 @@
   bent(
       "a part that ran told as never run", 2,
       [](checker::Event& e) {
-        if (e.what == What::told && e.fate == Fate::app_error) e.fate = Fate::dial_failed;
+        if (e.what == What::told && e.fate == SendOutcome::app_error) e.fate = SendOutcome::dial_failed;
       },
       s);
   s.faults.clear();
   bent(
       "a sound server said to have been draining all along", 3,
       [](checker::Event& e) {
-        if (e.what == What::learned && e.server == 3) e.standing = Standing::draining;
+        if (e.what == What::learned && e.server == 3) e.standing = ServerStatus::draining;
       },
       s);
   s.faults = {{FaultKind::crash, 4s, 6s, 0.25, -1, -1, -1, 1, 0us}};
--- a/tests/parser_traces.cpp
+++ b/tests/parser_traces.cpp
@@ -287,7 +287,7 @@
                   n.skipped);
       for (const list::Entry& e : n.entries) {
         std::printf("; %s zone %d cell %d standing %d size %g started ", e.row.server.c_str(), e.row.zone,
-                    e.row.cell, static_cast<int>(e.row.standing), e.row.size);
+                    e.row.cell, static_cast<int>(e.row.status), e.row.size);
         e.row.started ? std::printf("%lld", static_cast<long long>(e.row.started->count()))
                       : std::printf("-");
       }
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -176,7 +176,7 @@
  public:
   Duration steady() const override { return now_; }
   Duration wall() const override { return 1'700'000'000s + now_; }
-  Duration machine_time(Duration) const override { return 0s; }
+  Duration machine_duration(Duration) const override { return 0s; }
   void pass() { now_ += 1ms; }
 
  private:
@@ -222,7 +222,7 @@
         commission(config::read_commission(text)),
         stepped(clock),
         gatherer(commission, {},
-                 clock != nullptr ? static_cast<const TimeSource&>(*clock) : machine_clock()) {}
+                 clock != nullptr ? static_cast<const TimeSource&>(*clock) : system_time_source()) {}
   // In stepped time, among settings with these changes.
   Scene(const std::string& entries, SteppedTime& clock, const Changes& changes = {})
       : Scene(entries, "250000", "30000000", "5000", changes, &clock) {}
--- a/tests/search_rig.cpp
+++ b/tests/search_rig.cpp
@@ -130,9 +130,9 @@
       event.what = What::learned;
       event.gatherer = 0;
       event.server = entry.name.back() - '0';
-      event.standing = entry.status == "ready"      ? Standing::up
-                       : entry.status == "draining" ? Standing::draining
-                                                    : Standing::gone;
+      event.standing = entry.status == "ready"      ? ServerStatus::up
+                       : entry.status == "draining" ? ServerStatus::draining
+                                                    : ServerStatus::gone;
       note(event);
     };
     http = standins::free_address(net::Family::ip4, number(1));
@@ -288,7 +288,7 @@
     }
     if (manner == Manner::silent) return;
     event.what = What::told;
-    event.fate = manner == Manner::breaks_after ? Fate::dropped : Fate::returned;
+    event.fate = manner == Manner::breaks_after ? SendOutcome::dropped : SendOutcome::returned;
     note(event);
   }
 
--- a/tests/search_traces.cpp
+++ b/tests/search_traces.cpp
@@ -613,8 +613,8 @@
     int never = 0, unused = 0;
     Duration longest{};
     for (const servers::Ended& one : carrier.ended) {
-      never += one.fate == Fate::dial_failed ? 1 : 0;
-      unused += one.fate == Fate::unused ? 1 : 0;
+      never += one.fate == SendOutcome::dial_failed ? 1 : 0;
+      unused += one.fate == SendOutcome::unused ? 1 : 0;
       longest = std::max(longest, one.elapsed);
     }
     carrier.listed([] {
--- a/tests/stage_traces.cpp
+++ b/tests/stage_traces.cpp
@@ -112,13 +112,13 @@
   int left = 5;
   caught("answers that never came", 1, [&](Event& e) {
     if (e.what == What::answered && left-- > 0)
-      e.what = What::learned, e.server = 99, e.standing = Standing::up;
+      e.what = What::learned, e.server = 99, e.standing = ServerStatus::up;
   });
   bool said = false;
   caught("a server known to drain is sent parts", 3, [&](Event& e) {
     if (e.what != What::sent || std::exchange(said, true)) return;
     e.what = What::learned;
-    e.standing = Standing::draining;
+    e.standing = ServerStatus::draining;
   });
   caught("answers that name a part too many", 5, [](Event& e) {
     if (e.what == What::answered) e.count += 1;
