--- a/bench/benchmarks.cpp
+++ b/bench/benchmarks.cpp
@@ -6,8 +6,8 @@
 #include <string>
 
 #include "addresses/book.h"
-#include "choice.h"
 #include "clients/ask.h"
+#include "decision_engine.h"
 #include "net/http.h"
 #include "net/ring.h"
 #include "scenario/scenario.h"
--- a/src/addresses/book.h
+++ b/src/addresses/book.h
@@ -18,7 +18,7 @@
 #include <utility>
 #include <vector>
 
-#include "model/plain.h"
+#include "model/types.h"
 #include "net/address.h"
 
 namespace marbledyke::addresses {
--- a/src/carrier/fates.h
+++ b/src/carrier/fates.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <utility>
 
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke::carrier {
 
--- a/src/carrier/talk.h
+++ b/src/carrier/talk.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke::carrier {
 
--- a/src/checker/checker.h
+++ b/src/checker/checker.h
@@ -13,7 +13,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke::checker {
 
--- a/src/clients/ask.h
+++ b/src/clients/ask.h
@@ -8,7 +8,7 @@
 
 #include "config/commission.h"
 #include "front/front.h"
-#include "model/plain.h"
+#include "model/types.h"
 #include "net/http.h"
 
 namespace marbledyke::clients {
--- a/src/clients/eviction.h
+++ b/src/clients/eviction.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <utility>
 
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke::clients {
 
--- a/src/command/check.cpp
+++ b/src/command/check.cpp
@@ -4,8 +4,8 @@
 #include <iostream>
 #include <iterator>
 
-#include "choice.h"
 #include "config/commission.h"
+#include "decision_engine.h"
 #include "list/news.h"
 #include "operator_file/helper.h"
 
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -15,7 +15,7 @@
 #include <optional>
 #include <system_error>
 
-#include "choice.h"
+#include "decision_engine.h"
 #include "events/pipe.h"
 #include "gatherer/gatherer.h"
 #include "log/log.h"
--- a/src/config/commission.cpp
+++ b/src/config/commission.cpp
@@ -5,8 +5,8 @@
 #include <fstream>
 #include <sstream>
 
-#include "model/measure.h"
-#include "model/terms.h"
+#include "model/numeric.h"
+#include "model/settings_reader.h"
 
 namespace marbledyke::config {
 
--- a/src/config/commission.h
+++ b/src/config/commission.h
@@ -10,7 +10,7 @@
 #include "config/fields.h"
 #include "config/fleet_settings.h"
 #include "log/log.h"
-#include "model/plain.h"
+#include "model/types.h"
 #include "net/address.h"
 
 namespace marbledyke::config {
--- a/src/config/fields.h
+++ b/src/config/fields.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke::config {
 
--- a/src/choice.cpp
+++ b/src/decision_engine.cpp
@@ -1,16 +1,16 @@
 // marbledyke: every decision of the gatherer.
 // Invoked by a host (src/gatherer/ on sockets, src/wirehost/ on the simulator's wire): it makes one
 // DecisionEngine for each instance from the operators' terms and a seed, reports in each turn what has come
-// in, then pulls what is decided. The interface is src/choice.h, the plain types are in src/model/. The
-// ordinary path is the design of docs/design.md: place_parts() and pick(). Mechanisms beside the design (at
-// most six):
+// in, then pulls what is decided. The interface is src/decision_engine.h, the plain types are in src/model/.
+// The ordinary path is the design of docs/design.md: place_parts() and pick(). Mechanisms beside the design
+// (at most six):
 //   1. belief     a posterior of success for each replica; whether a doubtful one gets work is drawn from it
 //   2. pace       how slowly each replica answers for its load, and how long it has been silent
 //   3. copies     further sends: tries after failures, second copies of overdue parts, within a budget
 //   4. warm-up    what a cold replica may be sent: this gatherer's fair share of a budget over the window
 //   5. admission  pushing back at once what cannot be finished in time, least important first
 //   6. looks      asking replicas for their load before parts are placed, as far as that pays
-#include "choice.h"
+#include "decision_engine.h"
 
 #include <algorithm>
 #include <array>
@@ -21,11 +21,11 @@
 #include <utility>
 #include <vector>
 
-#include "model/hand.h"
-#include "model/measure.h"
-#include "model/slab.h"
-#include "model/terms.h"
-#include "model/window_count.h"
+#include "model/numeric.h"
+#include "model/settings_reader.h"
+#include "model/sliding_window_counter.h"
+#include "model/slot_map.h"
+#include "model/state.h"
 
 namespace marbledyke {
 namespace {
--- a/src/distribution/proposer.h
+++ b/src/distribution/proposer.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "distribution/acceptor.h"
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke::distribution {
 
--- a/src/distribution/receiver.h
+++ b/src/distribution/receiver.h
@@ -13,7 +13,7 @@
 
 #include "distribution/publisher.h"
 #include "distribution/revision.h"
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke::distribution {
 
--- a/src/emulator/clients.cpp
+++ b/src/emulator/clients.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <numeric>
 
-#include "model/measure.h"
+#include "model/numeric.h"
 
 namespace marbledyke::emulator {
 
--- a/src/emulator/policy.cpp
+++ b/src/emulator/policy.cpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <random>
 
-#include "model/terms.h"
+#include "model/settings_reader.h"
 
 namespace marbledyke::emulator {
 namespace {
--- a/src/emulator/policy.h
+++ b/src/emulator/policy.h
@@ -1,5 +1,5 @@
 // What decides in an emulated gatherer: the decision module, or one of the baselines it is compared with. The
-// same calls as src/choice.h has.
+// same calls as src/decision_engine.h has.
 #pragma once
 
 #include <memory>
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "choice.h"
+#include "decision_engine.h"
 
 namespace marbledyke::emulator {
 
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -18,7 +18,7 @@
 #include "emulator/keepers.h"
 #include "emulator/policy.h"
 #include "list/staleness.h"
-#include "model/measure.h"
+#include "model/numeric.h"
 
 namespace marbledyke::emulator {
 namespace {
--- a/src/front/front.h
+++ b/src/front/front.h
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke::front {
 
--- a/src/gatherer/gatherer.h
+++ b/src/gatherer/gatherer.h
@@ -11,13 +11,13 @@
 #include <vector>
 
 #include "carrier/carrier.h"
-#include "choice.h"
 #include "clients/clients.h"
 #include "config/commission.h"
+#include "decision_engine.h"
 #include "front/front.h"
 #include "list/watch.h"
 #include "log/log.h"
-#include "model/slab.h"
+#include "model/slot_map.h"
 #include "net/loop.h"
 #include "operator_file/terms.h"
 #include "servers/servers.h"
--- a/src/keeper/minder.h
+++ b/src/keeper/minder.h
@@ -12,7 +12,7 @@
 #include <string>
 
 #include "keeper/orders.h"
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke::keeper {
 
--- a/src/keeper/orders.h
+++ b/src/keeper/orders.h
@@ -7,7 +7,7 @@
 #include <optional>
 #include <string>
 
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke::keeper {
 
--- a/src/keeper/settings_holder.h
+++ b/src/keeper/settings_holder.h
@@ -14,7 +14,7 @@
 #include <string>
 
 #include "distribution/revision.h"
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke::keeper {
 
--- a/src/keeper/settings_keeper.cpp
+++ b/src/keeper/settings_keeper.cpp
@@ -5,7 +5,7 @@
 #include "config/fields.h"
 #include "fail_points/fail_points.h"
 #include "log/log.h"
-#include "model/measure.h"
+#include "model/numeric.h"
 
 namespace marbledyke::keeper {
 namespace {
--- a/src/keeper/versions.cpp
+++ b/src/keeper/versions.cpp
@@ -12,7 +12,7 @@
 
 #include "config/fields.h"
 #include "fail_points/fail_points.h"
-#include "model/measure.h"
+#include "model/numeric.h"
 #include "net/descriptor.h"
 
 namespace marbledyke::keeper {
--- a/src/lab/scale/hollow_receivers.h
+++ b/src/lab/scale/hollow_receivers.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "model/plain.h"
+#include "model/types.h"
 #include "net/address.h"
 
 namespace marbledyke::lab::scale {
--- a/src/lab/stage.cpp
+++ b/src/lab/stage.cpp
@@ -16,7 +16,7 @@
 #include "checker/checker.h"
 #include "emulator/clients.h"
 #include "lab/kept.h"
-#include "model/measure.h"
+#include "model/numeric.h"
 #include "net/http.h"
 #include "rig/relay.h"
 #include "standins/discovery.h"
--- a/src/list/news.h
+++ b/src/list/news.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "config/commission.h"
-#include "model/plain.h"
+#include "model/types.h"
 #include "net/address.h"
 
 namespace marbledyke::list {
--- a/src/list/staleness.h
+++ b/src/list/staleness.h
@@ -7,7 +7,7 @@
 
 #include <algorithm>
 
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke::list {
 
--- a/src/model/clock.h
+++ b/src/model/clock.h
@@ -4,7 +4,7 @@
 
 #include <chrono>
 
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke {
 
--- a/src/model/measure.h
+++ b/src/model/numeric.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string_view>
 
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke {
 
--- a/src/model/terms.h
+++ b/src/model/settings_reader.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <utility>
 
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke {
 
--- a/src/model/window_count.h
+++ b/src/model/sliding_window_counter.h
@@ -6,7 +6,7 @@
 #include <cstddef>
 #include <cstdint>
 
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke {
 
--- a/src/model/slab.h
+++ b/src/model/slot_map.h
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke {
 
--- a/src/model/hand.h
+++ b/src/model/state.h
@@ -10,8 +10,8 @@
 #include <utility>
 #include <vector>
 
-#include "model/measure.h"
-#include "model/plain.h"
+#include "model/numeric.h"
+#include "model/types.h"
 
 namespace marbledyke {
 
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke::net {
 
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "model/clock.h"
-#include "model/plain.h"
+#include "model/types.h"
 #include "net/descriptor.h"
 
 namespace marbledyke::net {
--- a/src/rig/flawed.cpp
+++ b/src/rig/flawed.cpp
@@ -41,7 +41,7 @@
 
 #include "command/check.h"
 #include "command/serve.h"
-#include "model/measure.h"
+#include "model/numeric.h"
 #include "rig/relay.h"
 #include "standins/load.h"
 
--- a/src/scenario/scenario.h
+++ b/src/scenario/scenario.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke::scenario {
 
--- a/src/search/terms.h
+++ b/src/search/terms.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "model/plain.h"
+#include "model/types.h"
 #include "net/address.h"
 #include "search/query.h"
 
--- a/src/standins/leaf.h
+++ b/src/standins/leaf.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "model/plain.h"
+#include "model/types.h"
 #include "net/loop.h"
 #include "net/socket.h"
 #include "servers/frames.h"
--- a/src/standins/machine.cpp
+++ b/src/standins/machine.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "model/measure.h"
+#include "model/numeric.h"
 
 namespace marbledyke::standins {
 
--- a/src/standins/process.h
+++ b/src/standins/process.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "model/plain.h"
+#include "model/types.h"
 #include "net/address.h"
 
 namespace marbledyke::standins {
--- a/src/totals/totals.h
+++ b/src/totals/totals.h
@@ -9,7 +9,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke::totals {
 
--- a/src/wirehost/main.cpp
+++ b/src/wirehost/main.cpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "choice.h"
 #include "config/fields.h"
+#include "decision_engine.h"
 
 namespace {
 
--- a/src/xml/document.h
+++ b/src/xml/document.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "config/fault.h"
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke::xml {
 
--- a/tests/bench_free.h
+++ b/tests/bench_free.h
@@ -5,7 +5,7 @@
 #include <map>
 #include <string>
 
-#include "choice.h"
+#include "decision_engine.h"
 
 namespace marbledyke::trace {
 
--- a/tests/cold_traces.cpp
+++ b/tests/cold_traces.cpp
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "bench_free.h"
-#include "model/measure.h"
+#include "model/numeric.h"
 
 using namespace marbledyke;
 using namespace marbledyke::trace;
