--- a/src/decision_engine.cpp
+++ b/src/decision_engine.cpp
@@ -33,108 +33,116 @@
 using namespace std::chrono_literals;
 
 // clang-format off
-constexpr double kRounding = 1e-5;        // of weights
-constexpr double kMargin = 1.05;          // the design: the preferred replica keeps a part within 5%
-constexpr double kTieShare = 0.2;         // the design: on ties, a fifth of a shard's parts above its share
-constexpr Duration kRecent = 1s;              // the design: cost recently sent decays over this
-constexpr Duration kShardMemory = 10s;        // over which a shard's recent parts are counted
-constexpr Duration kFlowMemory = 5s;          // over which the ordinary flow to a replica is averaged
-constexpr double kMostGood = 5;           // a long good record does not delay doubt
-constexpr double kMostBad = 8;            // nor a long bad one belief
-constexpr Duration kTypeMemory = 20s;         // and that about one op type more slowly, as it is rarer
-constexpr Duration kBeliefMemory = 6s;        // evidence about a replica as a whole fades over this
-constexpr double kPrior = 2;              // successes that a replica is credited with
-constexpr Duration kGlance = 10ms;            // how often what is in hand is looked over
-constexpr double kOverdue = 4;            // multiple of its expectation at which a send is due a copy
-constexpr double kMoved = 6;              // and at which it is moved, where no copy may go beside it
-constexpr Duration kRest = 100ms;             // before a part goes round its replicas again, by its sends
-constexpr double kDoubted = 3;            // or at this, if the replica is silent when asked
-constexpr Duration kSilent = 100ms;           // a look that is out for so long counts as that
-constexpr double kPaceGain = 0.2;         // weight of the newest answer in a replica's pace
-constexpr Duration kPaceMemory = 10s;         // a replica's pace drifts back to the fleet's over this
-constexpr double kOpening = 3;            // a call to be opened counts as load at this multiple of its cost
-constexpr double kCrossing = 4;           // weight of the price of crossing zones against that of wasted work
-constexpr double kOwnFurther = 0.25;      // further sends a multiget or part taken, where no budget is stated
-constexpr double kOwnFurtherFree = 10;    // and in addition
-constexpr double kFill = 0.5;             // share of the latency budget to fill while the fleet is jammed
-constexpr double kFillCalm = 1.3;         // and while it is calm: then odd replicas make expectations long
-constexpr double kWaitGain = 0.02;        // weight of the newest answer in the fleet's wait
-constexpr double kCalmWait = 2;           // calm while answers take up to this multiple of their own work
-constexpr double kJammedWait = 4;         // and jammed from this
-constexpr double kStretchGain = 0.05;     // weight of the newest multiget in stretch, report in fleet_held
-constexpr Duration kNews = 1s;                // a reported load drifts back to the fleet's over this
-constexpr Duration kStale = 500ms;            // a replica with news older than this is asked before it is sent to
-constexpr Duration kLook = 40ms;              // how long a multiget waits for that
-constexpr double kSilence = 20;           // an unanswered look stands for this multiple of the time it is out
-constexpr double kAtOnce = 2;             // parts that a replica is taken to work on at once
-constexpr double kOverbook = 4;           // of so many gatherers one uses its share of a cold replica
-constexpr double kSavedSends = 2;         // sends up to which a share of it is saved: the next, and one after
-constexpr double kMissGain = 0.1;         // weight of the newest multiget in the share that misses its budget
+constexpr double kWeightTolerance = 1e-5;        // of weights
+constexpr double kPreferenceMargin = 1.05;          // the design: the preferred replica keeps a part within 5%
+constexpr double kTieExtraShare = 0.2;         // the design: on ties, a fifth of a shard's parts above its share
+constexpr Duration kRecentCostDecay = 1s;              // the design: cost recently sent decays over this
+constexpr Duration kPartCountDecay = 10s;        // over which a shard's recent parts are counted
+constexpr Duration kWarmFlowDecay = 5s;          // over which the ordinary flow to a replica is averaged
+constexpr double kMaxSuccesses = 5;           // a long good record does not delay doubt
+constexpr double kMaxFailures = 8;            // nor a long bad one belief
+constexpr Duration kOpTypeResultDecay = 20s;         // and that about one op type more slowly, as it is rarer
+constexpr Duration kReplicaResultDecay = 6s;        // evidence about a replica as a whole fades over this
+constexpr double kPriorSuccesses = 2;              // successes that a replica is credited with
+constexpr Duration kReviewInterval = 10ms;            // how often what is in hand is looked over
+constexpr double kHedgeOverdueFactor = 4;            // multiple of its expectation at which a send is due a copy
+constexpr double kMoveOverdueFactor = 6;              // and at which it is moved, where no copy may go beside it
+constexpr Duration kRetryRoundPause = 100ms;             // before a part goes round its replicas again, by its sends
+constexpr double kMoveUnresponsiveFactor = 3;            // or at this, if the replica is silent when asked
+constexpr Duration kMinUnansweredProbeTime = 100ms;           // a look that is out for so long counts as that
+constexpr double kSlowdownGain = 0.2;         // weight of the newest answer in a replica's pace
+constexpr Duration kSlowdownDecay = 10s;         // a replica's pace drifts back to the fleet's over this
+constexpr double kNewCallLoadFactor = 3;            // a call to be opened counts as load at this multiple of its cost
+constexpr double kCrossZoneFactor = 4;           // weight of the price of crossing zones against that of wasted work
+constexpr double kDefaultHedgesPerRequest = 0.25;      // further sends a multiget or part taken, where no budget is stated
+constexpr double kDefaultHedgeFloor = 10;    // and in addition
+constexpr double kCongestedBudgetFill = 0.5;             // share of the latency budget to fill while the fleet is jammed
+constexpr double kCalmBudgetFill = 1.3;         // and while it is calm: then odd replicas make expectations long
+constexpr double kFleetLoadGain = 0.02;        // weight of the newest answer in the fleet's wait
+constexpr double kCalmWaitRatio = 2;           // calm while answers take up to this multiple of their own work
+constexpr double kCongestedWaitRatio = 4;         // and jammed from this
+constexpr double kAverageGain = 0.05;     // weight of the newest multiget in stretch, report in fleet_held
+constexpr Duration kReportedLoadDecay = 1s;                // a reported load drifts back to the fleet's over this
+constexpr Duration kMaxReportAge = 500ms;            // a replica with news older than this is asked before it is sent to
+constexpr Duration kProbeWait = 40ms;              // how long a multiget waits for that
+constexpr double kUnansweredProbeFactor = 20;           // an unanswered look stands for this multiple of the time it is out
+constexpr double kReplicaParallelism = 2;             // parts that a replica is taken to work on at once
+constexpr double kColdShareOverbooking = 4;           // of so many gatherers one uses its share of a cold replica
+constexpr double kMaxSavedColdSends = 2;         // sends up to which a share of it is saved: the next, and one after
+constexpr double kMissRateGain = 0.1;         // weight of the newest multiget in the share that misses its budget
 // clang-format on
 
 }  // namespace
 
 struct DecisionEngine::Impl {
   Impl(const FlatSettings& terms, std::uint32_t seed)
-      : contract(terms),
-        chance(seed),
-        multigets(static_cast<std::size_t>(contract.at_least("limits.max-open", 1000, 1))),
-        parts(static_cast<std::size_t>(contract.at_least("limits.max-open", 1000, 1))) {
-    read_terms();
-    const auto room = static_cast<std::size_t>(contract.number("limits.max-open", 1000));
-    for (auto* list : {&hand, &pending, &released, &looks, &touched}) list->reserve(room * 2);
-    plan.reserve(room * 2);
-    times.reserve(room);
-    withdrawals.reserve(room * 2);
-  }
-
-  void read_terms() {
+      : settings(terms),
+        rng(seed),
+        multigets(static_cast<std::size_t>(settings.at_least("limits.max-open", 1000, 1))),
+        parts(static_cast<std::size_t>(settings.at_least("limits.max-open", 1000, 1))) {
+    read_settings();
+    const auto room = static_cast<std::size_t>(settings.number("limits.max-open", 1000));
+    for (auto* list :
+         {&open_multigets, &pending_parts, &releasable_multigets, &pending_probes, &touched_replicas})
+      list->reserve(room * 2);
+    planned_sends.reserve(room * 2);
+    part_estimates.reserve(room);
+    cancellations.reserve(room * 2);
+  }
+
+  void read_settings() {
     read_op_types();
-    call_cost = contract.at_least("specifics.overhead", 0, 0);
-    call_room = static_cast<int>(contract.at_least("specifics.bundle-max", 1, 1));
-    cells = static_cast<int>(contract.at_least("specifics.sets", 1, 1));
-    width = static_cast<int>(contract.at_least("specifics.width", 1, 1));
-    shards = static_cast<int>(contract.at_least("specifics.slabs", 1, 1));
-    most_sends =
-        static_cast<int>(std::min(contract.at_least("limits.attempts-cap", 1, 1), double{kMostSends}));
-    zone = static_cast<int>(contract.number("zone", 0));
+    call_overhead = settings.at_least("specifics.overhead", 0, 0);
+    max_parts_per_call = static_cast<int>(settings.at_least("specifics.bundle-max", 1, 1));
+    cells = static_cast<int>(settings.at_least("specifics.sets", 1, 1));
+    width = static_cast<int>(settings.at_least("specifics.width", 1, 1));
+    shards = static_cast<int>(settings.at_least("specifics.slabs", 1, 1));
+    max_sends_per_part =
+        static_cast<int>(std::min(settings.at_least("limits.attempts-cap", 1, 1), double{kMaxSendsPerPart}));
+    zone = static_cast<int>(settings.number("zone", 0));
     // Crossing zones costs what wasting so much of a part's work would.
-    crossing = kCrossing * contract.at_least("prices.cross-zone", 0, 0) /
-               std::max(contract.at_least("prices.waste", 0, 0), 0.05);
-    peers = contract.at_least("replicas-of-me", 1, 1);
-    tick = contract.duration("tick", 5ms);
+    cross_zone_weight = kCrossZoneFactor * settings.at_least("prices.cross-zone", 0, 0) /
+                        std::max(settings.at_least("prices.waste", 0, 0), 0.05);
+    gatherer_count = settings.at_least("replicas-of-me", 1, 1);
+    tick = settings.duration("tick", 5ms);
     customers.clear();
-    allowances = 0;
-    for (int i = 0; contract.has("customers." + std::to_string(i) + ".name"); ++i) {
+    total_allowance_per_s = 0;
+    for (int i = 0; settings.has("customers." + std::to_string(i) + ".name"); ++i) {
       const std::string name = "customers." + std::to_string(i) + ".allowance-per-s";
-      const double allowance = contract.at_least(name, 0, 0) / peers;
+      const double allowance = settings.at_least(name, 0, 0) / gatherer_count;
       customers.push_back({allowance, allowance, {}});
-      allowances += allowance;
+      total_allowance_per_s += allowance;
     }
-    probing = contract.flag("limits.probing", false);
-    connecting = contract.duration("limits.connect-timeout", 0s);
-    cold = contract.duration("contract.cold", 0s);
-    cold_from = contract.share("contract.cold-from", 1);
-    cold_window = contract.duration("contract.overload-for", 1s);
-    cold_multiple = contract.at_least("contract.fall-multiple", 1, 0);
-    copies = contract.flag("limits.second-copies", false);
-    cancels = contract.flag("limits.cancel", false);
-    budgeted = contract.has("contract.resend-span");
-    further_free = budgeted ? contract.at_least("contract.extra-floor", 0, 0) : kOwnFurtherFree;
-    further_share = budgeted ? contract.at_least("contract.extra-per-request", 0, 0) : kOwnFurther;
-    by_work = contract.text("value-by", "request") == "work";
-    look_price = contract.at_least("prices.probe", 0, 0) + contract.at_least("prices.handshake", 0, 0) + 1e-4;
+    probing_allowed = settings.flag("limits.probing", false);
+    connect_timeout = settings.duration("limits.connect-timeout", 0s);
+    warm_up_time = settings.duration("contract.cold", 0s);
+    initial_warmth = settings.share("contract.cold-from", 1);
+    overload_window = settings.duration("contract.overload-for", 1s);
+    overload_multiple = settings.at_least("contract.fall-multiple", 1, 0);
+    hedging_allowed = settings.flag("limits.second-copies", false);
+    cancellation_allowed = settings.flag("limits.cancel", false);
+    resend_budget_stated = settings.has("contract.resend-span");
+    resend_floor =
+        resend_budget_stated ? settings.at_least("contract.extra-floor", 0, 0) : kDefaultHedgeFloor;
+    resends_per_request = resend_budget_stated ? settings.at_least("contract.extra-per-request", 0, 0)
+                                               : kDefaultHedgesPerRequest;
+    value_by_work = settings.text("value-by", "request") == "work";
+    probe_price =
+        settings.at_least("prices.probe", 0, 0) + settings.at_least("prices.handshake", 0, 0) + 1e-4;
     bool all_told = false;
-    for (std::size_t i = 0; i < unit.size(); ++i) {
-      const std::string field = contract.text("telemetry.fields." + std::to_string(i), "");
+    for (std::size_t i = 0; i < parts_per_reported_unit.size(); ++i) {
+      const std::string field = settings.text("telemetry.fields." + std::to_string(i), "");
       all_told |= field == "active";
-      unit[i] = field == "active" || field == "waiting" ? 1 : field == "cpu" && !all_told ? kAtOnce : 0;
+      parts_per_reported_unit[i] = field == "active" || field == "waiting" ? 1
+                                   : field == "cpu" && !all_told           ? kReplicaParallelism
+                                                                           : 0;
     }
-    const Duration window = contract.duration("contract.resend-span", 10s);
-    taken.set_window(window, now, 0);
-    for (SlidingWindowCounter* made : {&further, &copied}) made->set_window(window, now, made->at_most(now));
-    by_cell.resize(static_cast<std::size_t>(cells));
-    asked_of.resize(std::max(asked_of.size(), by_cell.size()));
+    const Duration window = settings.duration("contract.resend-span", 10s);
+    received_requests.set_window(window, now, 0);
+    for (SlidingWindowCounter* made : {&resends, &hedges})
+      made->set_window(window, now, made->upper_bound(now));
+    up_replicas_by_cell.resize(static_cast<std::size_t>(cells));
+    part_count_by_cell.resize(std::max(part_count_by_cell.size(), up_replicas_by_cell.size()));
   }
 
   // New terms in a running gatherer. What is in hand ends under the op type and the layout that it was taken
@@ -142,28 +150,32 @@
   void update_settings(const FlatSettings& terms) {
     const std::vector<OpType> before = std::exchange(op_types, {});
     std::vector<int> kept(before.size(), -1);
-    contract = SettingsReader(terms);
-    read_terms();
+    settings = SettingsReader(terms);
+    read_settings();
     for (OpType& op : op_types) {
       for (const OpType& old : before) {
-        if (old.name == op.name) std::tie(op.part_work, op.stretch) = std::tie(old.part_work, old.stretch);
+        if (old.name == op.name)
+          std::tie(op.typical_part_cost, op.duration_ratio) =
+              std::tie(old.typical_part_cost, old.duration_ratio);
       }
     }
-    for (const int m : hand) {
+    for (const int m : open_multigets) {
       int& at = kept[static_cast<std::size_t>(multigets.at(m).op_type)];
       if (at < 0) {
         at = static_cast<int>(op_types.size());
         op_types.push_back(before[static_cast<std::size_t>(multigets.at(m).op_type)]);
       }
       multigets.at(m).op_type = at;
-      by_cell.resize(std::max(by_cell.size(), static_cast<std::size_t>(multigets.at(m).cells)));
-      for (int p = multigets.at(m).first_part; p >= 0 && !copies; p = parts.at(p).next) {
-        if (parts.at(p).out() > 1) withdraw_all(p, parts.at(p).sent - 1);
+      up_replicas_by_cell.resize(
+          std::max(up_replicas_by_cell.size(), static_cast<std::size_t>(multigets.at(m).cells)));
+      for (int p = multigets.at(m).first_part; p >= 0 && !hedging_allowed; p = parts.at(p).next_part) {
+        if (parts.at(p).sends_in_flight() > 1) cancel_sends(p, parts.at(p).send_count - 1);
       }
     }
-    for (Replica& r : replicas) r.by_type.assign(op_types.size(), Belief{kPrior, 0, now, 1, {}});
-    had.assign(replicas.size() * static_cast<std::size_t>(shards), 0.0);
-    sort_by_cell();
+    for (Replica& r : replicas)
+      r.success_by_op_type.assign(op_types.size(), SuccessEstimate{kPriorSuccesses, 0, now, 1, {}});
+    part_counts.assign(replicas.size() * static_cast<std::size_t>(shards), 0.0);
+    group_by_cell();
   }
 
   void read_op_types() {
@@ -171,127 +183,131 @@
     for (int i = 0;; ++i) {
       const std::string at = "categories." + std::to_string(i) + ".";
       const std::string place = "." + std::to_string(i);
-      if (!contract.has(at + "deadline")) break;
+      if (!settings.has(at + "deadline")) break;
       OpType op;
-      op.name = contract.text(at + "name", "");
-      const std::string effect = contract.text(at + "effect", "once");
+      op.name = settings.text(at + "name", "");
+      const std::string effect = settings.text(at + "effect", "once");
       if (effect != "repeatable" && effect != "by_key" && effect != "once")
         SettingsReader::reject(at + "effect", "unknown");
-      op.repeat = effect == "repeatable" ? RetryClass::retriable
-                  : effect == "by_key"   ? RetryClass::deduped
-                                         : RetryClass::non_retriable;
-      op.route_timeout = contract.duration(at + "deadline", 0s);
+      op.retry_class = effect == "repeatable" ? RetryClass::retriable
+                       : effect == "by_key"   ? RetryClass::deduped
+                                              : RetryClass::non_retriable;
+      op.route_timeout = settings.duration(at + "deadline", 0s);
       if (op.route_timeout <= 0s) SettingsReader::reject(at + "deadline", "must be above 0");
-      op.latency_budget = std::min(contract.duration(at + "objective", op.route_timeout), op.route_timeout);
-      op.dedupe_window = contract.duration(at + "key-ttl", 0s);
-      op.importance = contract.at_least(at + "worth", 1, 0);
-      op.late_share = contract.share(at + "late-share", 0);
-      op.floor = contract.share("specifics.class-floor" + place, 1);
-      op.need = contract.share("specifics.complete-from" + place, 1);
-      op.partial = contract.share("specifics.short-worth" + place, 0);
-      op.second_step = static_cast<int>(contract.at_least("specifics.second-step" + place, 0, 0));
-      op.part_work = std::max(2 * contract.at_least("specifics.overhead", 0, 0), 20'000.0);
+      op.latency_budget = std::min(settings.duration(at + "objective", op.route_timeout), op.route_timeout);
+      op.dedupe_window = settings.duration(at + "key-ttl", 0s);
+      op.importance = settings.at_least(at + "worth", 1, 0);
+      op.late_share = settings.share(at + "late-share", 0);
+      op.min_weight = settings.share("specifics.class-floor" + place, 1);
+      op.complete_weight = settings.share("specifics.complete-from" + place, 1);
+      op.partial_value = settings.share("specifics.short-worth" + place, 0);
+      op.second_step_parts = static_cast<int>(settings.at_least("specifics.second-step" + place, 0, 0));
+      op.typical_part_cost = std::max(2 * settings.at_least("specifics.overhead", 0, 0), 20'000.0);
       op_types.push_back(op);
     }
     if (op_types.empty()) SettingsReader::reject("categories", "there is no op type");
-    present = static_cast<int>(op_types.size());
+    current_op_types = static_cast<int>(op_types.size());
   }
 
-  Replica& rep(int i) { return replicas[static_cast<std::size_t>(i)]; }
-  OpType& type_of(const Multiget& mg) { return op_types[static_cast<std::size_t>(mg.op_type)]; }
-  const OpType& type_of(const Multiget& mg) const { return op_types[static_cast<std::size_t>(mg.op_type)]; }
+  Replica& replica_at(int i) { return replicas[static_cast<std::size_t>(i)]; }
+  OpType& op_type_of(const Multiget& mg) { return op_types[static_cast<std::size_t>(mg.op_type)]; }
+  const OpType& op_type_of(const Multiget& mg) const {
+    return op_types[static_cast<std::size_t>(mg.op_type)];
+  }
 
   // ---- what is known ----
 
   void advance_clock(Duration t) {
-    verdict_cursor = 0;
+    reply_cursor = 0;
     now = t;
-    planned = false;
-    if (wake_set && *wake_set <= now) wake_set.reset();
+    sends_planned = false;
+    if (scheduled_wake && *scheduled_wake <= now) scheduled_wake.reset();
   }
 
-  Replica* replica_of(std::string_view server) {
-    const auto at = by_server.find(server);
-    return at == by_server.end() ? nullptr : &replicas[static_cast<std::size_t>(at->second)];
+  Replica* find_replica(std::string_view server) {
+    const auto at = replica_by_server.find(server);
+    return at == replica_by_server.end() ? nullptr : &replicas[static_cast<std::size_t>(at->second)];
   }
 
   void on_list_begin(bool whole, bool remembered) {
-    list_remembered = remembered;
-    for (Replica& r : replicas) r.named = !whole;
+    list_is_remembered = remembered;
+    for (Replica& r : replicas) r.listed = !whole;
   }
 
   void on_list_entry(const ListEntry& row) {
-    Replica* r = replica_of(row.server);
+    Replica* r = find_replica(row.server);
     if (r == nullptr) {
-      if (spare.empty()) spare.push_back(static_cast<int>(replicas.size()));
-      if (spare.back() == static_cast<int>(replicas.size())) replicas.emplace_back();
-      by_server.emplace(row.server, spare.back());
-      r = &(rep(spare.back()) = Replica{});
-      spare.pop_back();
+      if (free_replica_slots.empty()) free_replica_slots.push_back(static_cast<int>(replicas.size()));
+      if (free_replica_slots.back() == static_cast<int>(replicas.size())) replicas.emplace_back();
+      replica_by_server.emplace(row.server, free_replica_slots.back());
+      r = &(replica_at(free_replica_slots.back()) = Replica{});
+      free_replica_slots.pop_back();
       r->server = row.server;
       r->hash = hash_string(row.server);
       r->decayed_at = now;
-      forget(*r);
+      reset_learned_state(*r);
     } else if (row.started != r->started && row.started) {
-      forget(*r);  // a new start: what was learned is about a process that is gone
+      reset_learned_state(*r);  // a new start: what was learned is about a process that is gone
     }
     r->zone = row.zone;
     r->cell = std::max(row.cell, 0);
-    r->standing = row.status;
+    r->status = row.status;
     r->started = row.started;
-    r->named = true;
+    r->listed = true;
   }
 
   void on_list_complete() {
     for (Replica& r : replicas) {
-      if (!r.named) r.standing = ServerStatus::gone;  // absent from a whole list
+      if (!r.listed) r.status = ServerStatus::gone;  // absent from a whole list
     }
-    had.resize(replicas.size() * static_cast<std::size_t>(shards), 0.0);
-    forget_gone();
-    warm_counted_at = Duration::min() / 2;
-    sort_by_cell();
+    part_counts.resize(replicas.size() * static_cast<std::size_t>(shards), 0.0);
+    release_departed_replicas();
+    warm_replicas_counted_at = Duration::min() / 2;
+    group_by_cell();
     candidates.reserve(replicas.size());
-    if (!list_remembered) {
-      watching = true;
-      asked_at.reset();
-      refusals = 0;
+    if (!list_is_remembered) {
+      watching_list = true;
+      list_call_sent_at.reset();
+      consecutive_refusals = 0;
     }
   }
 
-  void sort_by_cell() {
-    for (auto& cell : by_cell) cell.clear();
+  void group_by_cell() {
+    for (auto& cell : up_replicas_by_cell) cell.clear();
     for (std::size_t i = 0; i < replicas.size(); ++i) {
       const auto cell = static_cast<std::size_t>(replicas[i].cell);
-      if (replicas[i].standing == ServerStatus::up && cell < by_cell.size())
-        by_cell[cell].push_back(static_cast<int>(i));
+      if (replicas[i].status == ServerStatus::up && cell < up_replicas_by_cell.size())
+        up_replicas_by_cell[cell].push_back(static_cast<int>(i));
     }
   }
 
   // Where servers come under ever new ids, those gone would fill memory. A place is used again once no part
   // in hand was sent there, no look is out, and what it was sent while cold cannot count if it comes back.
-  void forget_gone() {
+  void release_departed_replicas() {
     for (Replica& r : replicas)
-      r.kept = r.standing != ServerStatus::gone || r.asked || now - r.decayed_at < cold;
-    for (const int m : hand)
-      for (int p = multigets.at(m).first_part; p >= 0; p = parts.at(p).next)
-        for (int i = 0; i < parts.at(p).sent; ++i) rep(parts.at(p).send(i).replica).kept = true;
+      r.retained = r.status != ServerStatus::gone || r.probe_sent_at || now - r.decayed_at < warm_up_time;
+    for (const int m : open_multigets)
+      for (int p = multigets.at(m).first_part; p >= 0; p = parts.at(p).next_part)
+        for (int i = 0; i < parts.at(p).send_count; ++i)
+          replica_at(parts.at(p).send(i).replica).retained = true;
     for (std::size_t i = 0; i < replicas.size(); ++i) {
-      if (replicas[i].kept || by_server.erase(std::exchange(replicas[i].server, "")) == 0) continue;
-      spare.push_back(static_cast<int>(i));
-      for (int shard = 0; shard < shards; ++shard) had_of(shard, static_cast<int>(i)) = 0;
+      if (replicas[i].retained || replica_by_server.erase(std::exchange(replicas[i].server, "")) == 0)
+        continue;
+      free_replica_slots.push_back(static_cast<int>(i));
+      for (int shard = 0; shard < shards; ++shard) recent_part_count(shard, static_cast<int>(i)) = 0;
     }
   }
 
   void on_list_call_refused(Duration most_backoff) {
-    watching = false;
-    asked_at.reset();
+    watching_list = false;
+    list_call_sent_at.reset();
     // Spread out, so that gatherers refused together do not come back together.
-    const double wait = std::min(0.25 * std::pow(2.0, refusals), 4.0);
-    refusals = std::min(refusals + 1, 4);
-    const double spread = std::uniform_real_distribution<double>(0.5, 1.5)(chance);
-    ask_from =
+    const double wait = std::min(0.25 * std::pow(2.0, consecutive_refusals), 4.0);
+    consecutive_refusals = std::min(consecutive_refusals + 1, 4);
+    const double spread = std::uniform_real_distribution<double>(0.5, 1.5)(rng);
+    next_list_call_at =
         now + std::min(from_micros(1e6 * wait * spread), from_micros(to_micros(most_backoff) * spread / 1.5));
-    note = "list call refused";
+    log_message = "list call refused";
   }
 
   void on_multiget_received(const MultigetRequest& ask) {
@@ -299,128 +315,135 @@
     const int place = multigets.insert(ask.id);
     Multiget& mg = multigets.at(place);
     mg.number = ask.number;
-    mg.op_type = std::clamp(ask.op_type, 0, present - 1);
+    mg.op_type = std::clamp(ask.op_type, 0, current_op_types - 1);
     mg.cells = cells;
     mg.width = width;
-    mg.taken = now;
-    mg.last_moment = ask.client_deadline - kGlance - 2 * tick;
-    mg.awaited = ask.part_count;
-    mg.importance = type_of(mg).importance * within_share(ask.customer, ask.is_retry);
-    hand.push_back(place);
-    taken.add(now);
+    mg.received_at = now;
+    mg.reply_deadline = ask.client_deadline - kReviewInterval - 2 * tick;
+    mg.parts_to_receive = ask.part_count;
+    mg.importance = op_type_of(mg).importance * importance_factor(ask.customer, ask.is_retry);
+    open_multigets.push_back(place);
+    received_requests.add(now);
   }
 
   // What a customer sends beyond its share of this gatherer's traffic is worth little.
-  double within_share(int customer, bool repeated) {
-    own_rate = own_rate * exponential_decay(now - own_rate_at, kShardMemory) + (repeated ? 0 : 1);
-    own_rate_at = now;
+  double importance_factor(int customer, bool repeated) {
+    recent_multiget_count =
+        recent_multiget_count * exponential_decay(now - multiget_counted_at, kPartCountDecay) +
+        (repeated ? 0 : 1);
+    multiget_counted_at = now;
     if (customer < 0 || customer >= static_cast<int>(customers.size())) return 1;
     Customer& c = customers[static_cast<std::size_t>(customer)];
-    if (c.allowance <= 0) return 1;
+    if (c.allowance_per_s <= 0) return 1;
     // A gatherer that takes more than an even part of the traffic has as much more of each customer's share.
-    const double busier = std::max(own_rate / to_seconds(kShardMemory) / allowances, 1.0);
-    c.tokens = std::min(c.tokens + busier * c.allowance * to_seconds(now - c.filled),
-                        std::max(3.0, 3 * busier * c.allowance));
-    c.filled = now;
-    if (c.tokens < 1) return contract.share("over-share-worth", 1);
+    const double busier =
+        std::max(recent_multiget_count / to_seconds(kPartCountDecay) / total_allowance_per_s, 1.0);
+    c.tokens = std::min(c.tokens + busier * c.allowance_per_s * to_seconds(now - c.refilled_at),
+                        std::max(3.0, 3 * busier * c.allowance_per_s));
+    c.refilled_at = now;
+    if (c.tokens < 1) return settings.share("over-share-worth", 1);
     c.tokens -= 1;
     return 1;
   }
 
   void on_part_received(const PartRequest& ask) {
-    taken.add(now);
+    received_requests.add(now);
     if (parts.find(ask.id) >= 0) return;
-    for (auto at = hand.rbegin(); at != hand.rend(); ++at) {
+    for (auto at = open_multigets.rbegin(); at != open_multigets.rend(); ++at) {
       Multiget& mg = multigets.at(*at);
       if (mg.closed || mg.number != ask.multiget_number) continue;
-      const OpType& op = type_of(mg);
+      const OpType& op = op_type_of(mg);
       const int place = parts.insert(ask.id);
       Part& part = parts.at(place);
       for (int j = 0; j < std::min(mg.width, mg.cells); ++j)
-        asked_of[static_cast<std::size_t>((ask.shard + j) % mg.cells)].add(now, kShardMemory);
-      all_asked.add(now, kShardMemory);
+        part_count_by_cell[static_cast<std::size_t>((ask.shard + j) % mg.cells)].add(now, kPartCountDecay);
+      total_part_count.add(now, kPartCountDecay);
       part.multiget = *at;
-      part.next = mg.first_part;
+      part.next_part = mg.first_part;
       part.shard = ask.shard;
       part.step = mg.step;
       part.weight = ask.weight;
       part.key = ask.key;
-      part.cost = ask.cost_hint > Duration::zero() ? to_micros(ask.cost_hint) : op.part_work;
-      part.order = next_order++;
+      part.cost = ask.cost_hint > Duration::zero() ? to_micros(ask.cost_hint) : op.typical_part_cost;
+      part.arrival_order = next_arrival_order++;
       mg.first_part = place;
-      mg.awaited = std::max(0, mg.awaited - 1);
-      if (mg.admitted) await(place);
+      mg.parts_to_receive = std::max(0, mg.parts_to_receive - 1);
+      if (mg.admitted) enqueue_part(place);
       return;
     }
   }
 
-  void await(int place) {
+  void enqueue_part(int place) {
     if (parts.at(place).pending) return;
     parts.at(place).pending = true;
-    pending.push_back(place);
+    pending_parts.push_back(place);
   }
 
   // What a replica holds of all gatherers' work, from its report and from how long its answer took.
-  void hear_load(Replica& r, const LoadReport& report, Duration waited) {
-    settle(r);
+  void update_reported_load(Replica& r, const LoadReport& report, Duration waited) {
+    decay_to_now(r);
     double held = 0;
-    for (std::size_t i = 0; i < unit.size(); ++i) held += unit[i] * report.values[i];
-    if (report.count > 0) fleet_held += kStretchGain * (held - fleet_held);
-    r.foreign = std::max(held * mean_charge - r.out, kAtOnce * to_micros(waited));
-    fleet_foreign += kWaitGain * (r.foreign - fleet_foreign);
-    r.news_at = now;
+    for (std::size_t i = 0; i < parts_per_reported_unit.size(); ++i)
+      held += parts_per_reported_unit[i] * report.values[i];
+    if (report.count > 0) fleet_parts_held += kAverageGain * (held - fleet_parts_held);
+    r.others_load =
+        std::max(held * mean_send_cost - r.in_flight_cost, kReplicaParallelism * to_micros(waited));
+    fleet_others_load += kFleetLoadGain * (r.others_load - fleet_others_load);
+    r.load_reported_at = now;
   }
 
   void on_probe_ended(std::string_view server, SendOutcome fate, Duration elapsed, const LoadReport& report) {
-    Replica* r = replica_of(server);
+    Replica* r = find_replica(server);
     if (r == nullptr) return;
-    r->asked.reset();
-    looked_at = now;
+    r->probe_sent_at.reset();
+    last_probe_end = now;
     if (fate == SendOutcome::returned) {
-      look_time += kStretchGain * (to_micros(elapsed) - look_time);
-      hear_load(*r, report, elapsed);
+      mean_probe_micros += kAverageGain * (to_micros(elapsed) - mean_probe_micros);
+      update_reported_load(*r, report, elapsed);
     } else {
-      believe(r->belief, 0, 2, kBeliefMemory);
-      missed += kMissGain / 10 * (1 - missed);
+      record_result(r->success, 0, 2, kReplicaResultDecay);
+      miss_rate += kMissRateGain / 10 * (1 - miss_rate);
     }
   }
 
-  void forget(Replica& r) {
-    r.pace = fleet_pace;
-    r.belief = Belief{kPrior, 0, now, 1, {}};
-    r.by_type.assign(op_types.size(), r.belief);
+  void reset_learned_state(Replica& r) {
+    r.slowdown = fleet_slowdown;
+    r.success = SuccessEstimate{kPriorSuccesses, 0, now, 1, {}};
+    r.success_by_op_type.assign(op_types.size(), r.success);
   }
 
-  void believe(Belief& b, double good, double bad, Duration memory) {
-    const double keep = exponential_decay(now - b.at, memory);
-    b.good = std::min(kPrior + (b.good - kPrior) * keep + good, kMostGood);
-    b.bad = std::min(b.bad * keep + bad, kMostBad);
-    b.at = now;
+  void record_result(SuccessEstimate& b, double good, double bad, Duration memory) {
+    const double keep = exponential_decay(now - b.updated_at, memory);
+    b.successes = std::min(kPriorSuccesses + (b.successes - kPriorSuccesses) * keep + good, kMaxSuccesses);
+    b.failures = std::min(b.failures * keep + bad, kMaxFailures);
+    b.updated_at = now;
   }
 
   // A replica that fails one op type only looks well as a whole, so each op type has a belief of its own
   // beside the common one. It guards against silence, errors and push-backs that befall one kind of work; it
   // does harm where op types are rare and a chance failure keeps a sound replica out for long.
-  void believe(Replica& r, int op_type, double good, double bad) {
-    believe(r.belief, good, bad, kBeliefMemory);
-    if (bad >= 1) missed += kMissGain / 10 * (1 - missed);
-    believe(r.by_type[static_cast<std::size_t>(op_type)], good, bad, kTypeMemory);
+  void record_result(Replica& r, int op_type, double good, double bad) {
+    record_result(r.success, good, bad, kReplicaResultDecay);
+    if (bad >= 1) miss_rate += kMissRateGain / 10 * (1 - miss_rate);
+    record_result(r.success_by_op_type[static_cast<std::size_t>(op_type)], good, bad, kOpTypeResultDecay);
   }
 
-  void settle(Replica& r) {
+  void decay_to_now(Replica& r) {
     const Duration age = now - r.decayed_at;
     if (age <= Duration::zero()) return;
-    r.recent *= exponential_decay(age, kRecent);
-    r.foreign = fleet_foreign + (r.foreign - fleet_foreign) * exponential_decay(age, kNews);
+    r.recent_cost *= exponential_decay(age, kRecentCostDecay);
+    r.others_load =
+        fleet_others_load + (r.others_load - fleet_others_load) * exponential_decay(age, kReportedLoadDecay);
     // A replica shunned for its pace brings no news of it; without this it would be shunned for good.
-    r.pace = fleet_pace * std::pow(r.pace / fleet_pace, exponential_decay(age, kPaceMemory));
+    r.slowdown =
+        fleet_slowdown * std::pow(r.slowdown / fleet_slowdown, exponential_decay(age, kSlowdownDecay));
     r.decayed_at = now;
   }
 
-  void learn_pace(Replica& r, double ratio) {
-    r.pace *= std::pow(std::clamp(ratio / r.pace, 0.1, 10.0), kPaceGain);
-    r.pace = std::clamp(r.pace, 0.2, 50.0);
-    fleet_pace *= std::pow(std::clamp(ratio / fleet_pace, 0.1, 10.0), kPaceGain / 10);
+  void update_slowdown(Replica& r, double ratio) {
+    r.slowdown *= std::pow(std::clamp(ratio / r.slowdown, 0.1, 10.0), kSlowdownGain);
+    r.slowdown = std::clamp(r.slowdown, 0.2, 50.0);
+    fleet_slowdown *= std::pow(std::clamp(ratio / fleet_slowdown, 0.1, 10.0), kSlowdownGain / 10);
   }
 
   void on_send_ended(const RequestId& id, int send, SendOutcome fate, Duration elapsed,
@@ -428,42 +451,44 @@
     const int place = parts.find(id);
     if (place < 0) return;
     Part& part = parts.at(place);
-    if (send < 0 || send >= part.sent) return;
+    if (send < 0 || send >= part.send_count) return;
     SendRecord& s = part.send(send);
-    if (!s.out) return;
-    s.out = false;
+    if (!s.in_flight) return;
+    s.in_flight = false;
     Multiget& mg = multigets.at(part.multiget);
-    mg.sends_out -= 1;
-    Replica& r = rep(s.replica);
-    settle(r);
-    r.out = std::max(0.0, r.out - s.charge);
+    mg.sends_in_flight -= 1;
+    Replica& r = replica_at(s.replica);
+    decay_to_now(r);
+    r.in_flight_cost = std::max(0.0, r.in_flight_cost - s.in_flight_cost);
     if (fate == SendOutcome::pushed_back || fate == SendOutcome::dial_failed || fate == SendOutcome::unused)
       s.may_have_run = false;
-    if (report.count > 0) hear_load(r, report, 0s);
-    const double ratio = to_micros(elapsed) / std::max(s.base, 1.0);
+    if (report.count > 0) update_reported_load(r, report, 0s);
+    const double ratio = to_micros(elapsed) / std::max(s.unscaled_micros, 1.0);
     switch (fate) {
       case SendOutcome::returned:
-        believe(r, mg.op_type, 1, 0);
-        learn_pace(r, ratio);
-        fleet_wait += kWaitGain * (to_micros(elapsed) / (part.cost + call_cost) - fleet_wait);
-        learn_work(type_of(mg), s, part, elapsed);
+        record_result(r, mg.op_type, 1, 0);
+        update_slowdown(r, ratio);
+        fleet_wait_ratio +=
+            kFleetLoadGain * (to_micros(elapsed) / (part.cost + call_overhead) - fleet_wait_ratio);
+        update_typical_cost(op_type_of(mg), s, part, elapsed);
         if (warmth(r) >= 1) {
-          warm_flow = warm_flow * exponential_decay(now - flow_at, kFlowMemory) + s.charge;
-          flow_at = now;
+          warm_cost_flow =
+              warm_cost_flow * exponential_decay(now - warm_cost_flow_at, kWarmFlowDecay) + s.in_flight_cost;
+          warm_cost_flow_at = now;
         }
         break;
       case SendOutcome::app_error:
       case SendOutcome::dropped:
       case SendOutcome::dial_failed:
       case SendOutcome::expired:
-        believe(r, mg.op_type, 0, 1);
+        record_result(r, mg.op_type, 0, 1);
         break;
       case SendOutcome::pushed_back:
-        learn_pace(r, r.pace * 2);
+        update_slowdown(r, r.slowdown * 2);
         break;
       case SendOutcome::revoked:
-        if (s.counted_late) believe(r, mg.op_type, 0, 0.5);
-        if (ratio > r.pace) learn_pace(r, ratio);  // it would have taken longer still
+        if (s.counted_overdue) record_result(r, mg.op_type, 0, 0.5);
+        if (ratio > r.slowdown) update_slowdown(r, ratio);  // it would have taken longer still
         break;
       case SendOutcome::unused:
         break;
@@ -471,156 +496,160 @@
     if (!mg.closed && !part.returned) {
       if (fate == SendOutcome::returned) {
         part.returned = true;
-        mg.returned_parts += 1;
-        if (part.step == mg.step) mg.weight_in += part.weight;
-        withdraw_all(place);
-      } else if (part.out() == 0) {
-        if (may_repeat(part, mg)) {
-          await(place);
+        mg.returned_part_count += 1;
+        if (part.step == mg.step) mg.returned_weight += part.weight;
+        cancel_sends(place);
+      } else if (part.sends_in_flight() == 0) {
+        if (can_resend(part, mg)) {
+          enqueue_part(place);
         } else {
-          mg.weight_lost += part.weight;
+          mg.lost_weight += part.weight;
         }
       }
     }
-    release_if_done(part.multiget);
+    queue_release_if_done(part.multiget);
   }
 
   // Where no hints come, a part's cost is the lower quartile of what an otherwise idle replica took for it.
-  void learn_work(OpType& op, const SendRecord& s, const Part& part, Duration elapsed) {
-    if (!s.alone || part.step > 1) return;
-    const double work = std::max(to_micros(elapsed) - call_cost, 1000.0);
-    op.part_work *= work < op.part_work ? 0.95 : 1.0167;
+  void update_typical_cost(OpType& op, const SendRecord& s, const Part& part, Duration elapsed) {
+    if (!s.replica_was_idle || part.step > 1) return;
+    const double work = std::max(to_micros(elapsed) - call_overhead, 1000.0);
+    op.typical_part_cost *= work < op.typical_part_cost ? 0.95 : 1.0167;
   }
 
   void on_client_left(const RequestId& id) {
     const int place = multigets.find(id);
-    if (place >= 0 && !multigets.at(place).closed) close(place, false);
+    if (place >= 0 && !multigets.at(place).closed) close_multiget(place, false);
   }
 
   // ---- ends ----
 
-  void withdraw_all(int place, int before = static_cast<int>(kMostSends)) {
-    if (!cancels) return;
+  void cancel_sends(int place, int before = static_cast<int>(kMaxSendsPerPart)) {
+    if (!cancellation_allowed) return;
     Part& part = parts.at(place);
-    for (int i = 0; i < std::min(part.sent, before); ++i) {
+    for (int i = 0; i < std::min(part.send_count, before); ++i) {
       SendRecord& s = part.send(i);
-      if (s.out && !s.withdrawn) {
-        s.withdrawn = true;
-        withdrawals.push_back({part.id, i});
+      if (s.in_flight && !s.cancelled) {
+        s.cancelled = true;
+        cancellations.push_back({part.id, i});
       }
     }
   }
 
-  void close(int place, bool answered) {
+  void close_multiget(int place, bool answered) {
     Multiget& mg = multigets.at(place);
-    const bool in_time = answered && now <= mg.taken + type_of(mg).latency_budget;
-    missed += kMissGain * ((in_time ? 0 : 1) - missed);
+    const bool in_time = answered && now <= mg.received_at + op_type_of(mg).latency_budget;
+    miss_rate += kMissRateGain * ((in_time ? 0 : 1) - miss_rate);
     mg.closed = true;
-    if (mg.admitted && mg.expected > 0) {
-      double& stretch = type_of(mg).stretch;
-      const double ratio = to_micros(now - mg.taken) / mg.expected;
-      stretch = std::clamp(stretch * std::pow(std::clamp(ratio / stretch, 0.2, 5.0), kStretchGain), 0.2, 5.0);
+    if (mg.admitted && mg.expected_micros > 0) {
+      double& stretch = op_type_of(mg).duration_ratio;
+      const double ratio = to_micros(now - mg.received_at) / mg.expected_micros;
+      stretch = std::clamp(stretch * std::pow(std::clamp(ratio / stretch, 0.2, 5.0), kAverageGain), 0.2, 5.0);
     }
-    abandon(mg);
-    release_if_done(place);
+    abandon_parts(mg);
+    queue_release_if_done(place);
   }
 
-  void abandon(const Multiget& mg) {
-    for (int p = mg.first_part; p >= 0; p = parts.at(p).next) {
+  void abandon_parts(const Multiget& mg) {
+    for (int p = mg.first_part; p >= 0; p = parts.at(p).next_part) {
       parts.at(p).pending = false;
-      withdraw_all(p);
+      cancel_sends(p);
     }
   }
 
   // A place is given back once nothing of it is out, and not while verdicts are being looked for.
-  void release_if_done(int place) {
-    if (multigets.at(place).closed && multigets.at(place).sends_out == 0) released.push_back(place);
+  void queue_release_if_done(int place) {
+    if (multigets.at(place).closed && multigets.at(place).sends_in_flight == 0)
+      releasable_multigets.push_back(place);
   }
 
-  void sweep() {
-    for (const int place : released) {
+  void release_closed_multigets() {
+    for (const int place : releasable_multigets) {
       Multiget& mg = multigets.at(place);
       for (int p = mg.first_part; p >= 0;) {
-        const int next = parts.at(p).next;
+        const int next = parts.at(p).next_part;
         parts.erase(p);
         p = next;
       }
-      hand.erase(std::find(hand.begin(), hand.end(), place));
+      open_multigets.erase(std::find(open_multigets.begin(), open_multigets.end(), place));
       multigets.erase(place);
     }
-    released.clear();
+    releasable_multigets.clear();
   }
 
   // Rules 1, 2 and 5: every final answer passes here, once.
-  ReplyDecision finish(int place, MultigetOutcome ending, bool whole, Duration come_back) {
+  ReplyDecision decide_reply(int place, MultigetOutcome ending, bool whole, Duration come_back) {
     Multiget& mg = multigets.at(place);
-    const OpType& op = type_of(mg);
+    const OpType& op = op_type_of(mg);
     if (ending != MultigetOutcome::answer) {
       // A push-back promises that trying again is harmless.
       bool harmless = true;
-      if (op.repeat == RetryClass::non_retriable) {
-        for (int p = mg.first_part; p >= 0; p = parts.at(p).next) {
+      if (op.retry_class == RetryClass::non_retriable) {
+        for (int p = mg.first_part; p >= 0; p = parts.at(p).next_part) {
           const Part& part = parts.at(p);
-          for (int i = 0; i < part.sent; ++i) harmless &= !part.send(i).may_have_run;
+          for (int i = 0; i < part.send_count; ++i) harmless &= !part.send(i).may_have_run;
         }
       }
       ending = harmless ? MultigetOutcome::push_back : MultigetOutcome::fail;
       whole = false;
-      if (!contract.flag("limits.retry-after", false) || !harmless) come_back = Duration::zero();
-      come_back = std::min(come_back, contract.duration("limits.max-retry-after", 0s));
+      if (!settings.flag("limits.retry-after", false) || !harmless) come_back = Duration::zero();
+      come_back = std::min(come_back, settings.duration("limits.max-retry-after", 0s));
     }
-    const bool second_step_follows = ending == MultigetOutcome::answer && mg.step == 1 && op.second_step > 0;
+    const bool second_step_follows =
+        ending == MultigetOutcome::answer && mg.step == 1 && op.second_step_parts > 0;
     ReplyDecision verdict{mg.id, ending, whole, come_back};
     if (second_step_follows) {
-      mg.first_step_whole = whole;
+      mg.first_step_complete = whole;
       mg.step = 2;
-      mg.weight_in = mg.weight_lost = 0;
-      mg.awaited = std::min(op.second_step, mg.returned_parts);
-      abandon(mg);
+      mg.returned_weight = mg.lost_weight = 0;
+      mg.parts_to_receive = std::min(op.second_step_parts, mg.returned_part_count);
+      abandon_parts(mg);
     } else {
-      close(place, ending == MultigetOutcome::answer);
+      close_multiget(place, ending == MultigetOutcome::answer);
     }
     return verdict;
   }
 
   std::optional<ReplyDecision> next_reply() {
-    while (verdict_cursor < hand.size()) {
-      const int place = hand[verdict_cursor++];
+    while (reply_cursor < open_multigets.size()) {
+      const int place = open_multigets[reply_cursor++];
       Multiget& mg = multigets.at(place);
       if (mg.closed) continue;
-      const OpType& op = type_of(mg);
-      const double need = mg.step == 1 ? op.need : 1.0;
-      if (mg.awaited == 0 && mg.weight_in >= need - kRounding) {
-        return finish(place, MultigetOutcome::answer, mg.step == 1 || mg.first_step_whole, Duration::zero());
+      const OpType& op = op_type_of(mg);
+      const double need = mg.step == 1 ? op.complete_weight : 1.0;
+      if (mg.parts_to_receive == 0 && mg.returned_weight >= need - kWeightTolerance) {
+        return decide_reply(place, MultigetOutcome::answer, mg.step == 1 || mg.first_step_complete,
+                            Duration::zero());
       }
-      const bool late = now >= mg.taken + op.latency_budget;
-      const bool closing = now >= mg.taken + op.latency_budget - kGlance - 2 * tick;
-      const bool floor_in = op.floor < op.need && mg.awaited == 0 && mg.weight_in >= op.floor - kRounding;
+      const bool late = now >= mg.received_at + op.latency_budget;
+      const bool closing = now >= mg.received_at + op.latency_budget - kReviewInterval - 2 * tick;
+      const bool floor_in = op.min_weight < op.complete_weight && mg.parts_to_receive == 0 &&
+                            mg.returned_weight >= op.min_weight - kWeightTolerance;
       // What can no longer come ends the multiget at once, unless the rest may still make an answer.
-      const double possible = 1 - mg.weight_lost + kRounding;
-      const bool hopeless =
-          possible < std::min(need, op.floor) || (possible < need && floor_in && mg.sends_out == 0);
-      if (now >= mg.last_moment || hopeless || (closing && op.partial > 0 && floor_in)) {
-        return finish(place, floor_in ? MultigetOutcome::answer : MultigetOutcome::push_back, false,
-                      Duration::zero());
+      const double possible = 1 - mg.lost_weight + kWeightTolerance;
+      const bool hopeless = possible < std::min(need, op.min_weight) ||
+                            (possible < need && floor_in && mg.sends_in_flight == 0);
+      if (now >= mg.reply_deadline || hopeless || (closing && op.partial_value > 0 && floor_in)) {
+        return decide_reply(place, floor_in ? MultigetOutcome::answer : MultigetOutcome::push_back, false,
+                            Duration::zero());
       }
-      if (late && (op.late_share <= 0 || fleet_pace > 3))
-        return finish(place, MultigetOutcome::push_back, false, 0s);
-      if (!mg.admitted && mg.awaited == 0) {
-        if (looking(mg)) continue;
-        mg.expected = expected_time(mg);
+      if (late && (op.late_share <= 0 || fleet_slowdown > 3))
+        return decide_reply(place, MultigetOutcome::push_back, false, 0s);
+      if (!mg.admitted && mg.parts_to_receive == 0) {
+        if (is_waiting_for_probes(mg)) continue;
+        mg.expected_micros = expected_completion(mg);
         // Lost sends stretch multigets as a jam does, but pushing back helps against a jam only.
-        const double need_us = mg.expected * (jam() > 0 ? op.stretch : 1);
-        if (need_us > allowed_time(mg, op)) {
-          note = "pushing back: more is asked for than can be finished in time";
+        const double need_us = mg.expected_micros * (congestion() > 0 ? op.duration_ratio : 1);
+        if (need_us > admission_limit(mg, op)) {
+          log_message = "pushing back: more is asked for than can be finished in time";
           const double wait = std::isfinite(need_us) ? std::max(need_us / 2, 100'000.0) : 500'000.0;
-          return finish(place, MultigetOutcome::push_back, false, from_micros(std::min(wait, 1e9)));
+          return decide_reply(place, MultigetOutcome::push_back, false, from_micros(std::min(wait, 1e9)));
         }
         mg.admitted = true;
-        for (int p = mg.first_part; p >= 0; p = parts.at(p).next) await(p);
+        for (int p = mg.first_part; p >= 0; p = parts.at(p).next_part) enqueue_part(p);
       }
     }
-    sweep();
+    release_closed_multigets();
     return std::nullopt;
   }
 
@@ -629,87 +658,94 @@
   // At full size a gatherer rarely meets a server twice within seconds, so its own sends tell little of what
   // it will find. Before a multiget is placed, the replicas it may use are asked, where what it would miss
   // otherwise outweighs the price.
-  bool looking(Multiget& mg) {
-    if (!probing) return false;
-    if (!mg.looked_at) {
-      mg.looked_at = now;
+  bool is_waiting_for_probes(Multiget& mg) {
+    if (!probing_allowed) return false;
+    if (!mg.probed_at) {
+      mg.probed_at = now;
       double worth = 0;
-      for (int p = mg.first_part; p >= 0; p = parts.at(p).next)
-        worth += missed / (copies ? 4 : 2) / look_price;
-      for (int k = 0; k < most_sends; ++k) {
-        for (int p = mg.first_part; p >= 0 && worth >= 1; p = parts.at(p).next) {
-          holders(parts.at(p));
+      for (int p = mg.first_part; p >= 0; p = parts.at(p).next_part)
+        worth += miss_rate / (hedging_allowed ? 4 : 2) / probe_price;
+      for (int k = 0; k < max_sends_per_part; ++k) {
+        for (int p = mg.first_part; p >= 0 && worth >= 1; p = parts.at(p).next_part) {
+          collect_candidates(parts.at(p));
           if (k >= static_cast<int>(candidates.size())) continue;
-          const std::size_t turn = (parts.at(p).order + static_cast<std::size_t>(k)) % candidates.size();
-          Replica& r = rep(candidates[turn].replica);
-          if (r.asked || now - r.news_at < kStale) continue;
-          r.asked = now;
-          looks.push_back(candidates[turn].replica);
+          const std::size_t turn =
+              (parts.at(p).arrival_order + static_cast<std::size_t>(k)) % candidates.size();
+          Replica& r = replica_at(candidates[turn].replica);
+          if (r.probe_sent_at || now - r.load_reported_at < kMaxReportAge) continue;
+          r.probe_sent_at = now;
+          pending_probes.push_back(candidates[turn].replica);
           worth -= 1;
         }
       }
     }
-    if (now - *mg.looked_at >= kLook) return false;
-    for (int p = mg.first_part; p >= 0; p = parts.at(p).next) {
-      holders(parts.at(p));
+    if (now - *mg.probed_at >= kProbeWait) return false;
+    for (int p = mg.first_part; p >= 0; p = parts.at(p).next_part) {
+      collect_candidates(parts.at(p));
       for (const Candidate& c : candidates) {
-        if (rep(c.replica).asked) return true;
+        if (replica_at(c.replica).probe_sent_at) return true;
       }
     }
     return false;
   }
 
   std::optional<std::string_view> next_probe() {
-    if (looks.empty()) return std::nullopt;
-    const std::string_view server = rep(looks.back()).server;
-    looks.pop_back();
+    if (pending_probes.empty()) return std::nullopt;
+    const std::string_view server = replica_at(pending_probes.back()).server;
+    pending_probes.pop_back();
     return server;
   }
 
   // ---- admission ----
 
   // Until as much weight is in as an answer may be given from.
-  double expected_time(const Multiget& mg) {
-    const OpType& op = type_of(mg);
-    times.clear();
-    for (int p = mg.first_part; p >= 0; p = parts.at(p).next) {
+  double expected_completion(const Multiget& mg) {
+    const OpType& op = op_type_of(mg);
+    part_estimates.clear();
+    for (int p = mg.first_part; p >= 0; p = parts.at(p).next_part) {
       double best = std::numeric_limits<double>::infinity();
-      holders(parts.at(p));
+      collect_candidates(parts.at(p));
       for (const Candidate& c : candidates) {
-        Replica& r = rep(c.replica);
+        Replica& r = replica_at(c.replica);
         // Without warmth: a cold replica's pace already holds its coldness, and counted twice it makes a
         // deploy look like a jam. Harm: the first multigets after a start may be admitted too easily.
-        best = std::min(best, estimate(r, parts.at(p).cost + call_cost) * warmth(r));
+        best = std::min(best, estimated_send_micros(r, parts.at(p).cost + call_overhead) * warmth(r));
       }
-      times.emplace_back(best, parts.at(p).weight);
+      part_estimates.emplace_back(best, parts.at(p).weight);
     }
-    std::sort(times.begin(), times.end());
-    double missing = op.partial > 0 ? std::min(op.floor, op.need) : op.need;
-    for (const auto& [time, weight] : times) {
+    std::sort(part_estimates.begin(), part_estimates.end());
+    double missing = op.partial_value > 0 ? std::min(op.min_weight, op.complete_weight) : op.complete_weight;
+    for (const auto& [time, weight] : part_estimates) {
       missing -= weight;
-      if (missing <= kRounding) return time;
+      if (missing <= kWeightTolerance) return time;
     }
-    return times.empty() ? 0 : times.back().first;
+    return part_estimates.empty() ? 0 : part_estimates.back().first;
   }
 
   // From 0 while the fleet answers about as quickly as it has, to 1 when it is jammed. Pace is seen by
   // answers, so pushing back does not keep it high, as a share of push-backs would.
   // Answers held up by links, or by a gatherer's own stalls, are late as in a jam; where looks go out, what
   // servers report to hold tells them apart: half the wait counts only as far as much is held.
-  double jam() const {
-    const double told = missed > 0.05 && looked_at > now - 5s ? std::clamp(fleet_held - 0.5, 0.0, 1.0) : 1;
-    return std::clamp((fleet_wait * (0.5 + 0.5 * told) - kCalmWait) / (kJammedWait - kCalmWait), 0.0, 1.0);
+  double congestion() const {
+    const double told =
+        miss_rate > 0.05 && last_probe_end > now - 5s ? std::clamp(fleet_parts_held - 0.5, 0.0, 1.0) : 1;
+    return std::clamp(
+        (fleet_wait_ratio * (0.5 + 0.5 * told) - kCalmWaitRatio) / (kCongestedWaitRatio - kCalmWaitRatio),
+        0.0, 1.0);
   }
 
-  double allowed_time(const Multiget& mg, const OpType& op) {
-    double cost = call_cost;
-    for (int p = mg.first_part; p >= 0; p = parts.at(p).next) cost += parts.at(p).cost;
-    const double density = mg.importance / (by_work ? 1 : cost);
-    mean_density = mean_density > 0 ? mean_density + 0.02 * (density - mean_density) : density;
+  double admission_limit(const Multiget& mg, const OpType& op) {
+    double cost = call_overhead;
+    for (int p = mg.first_part; p >= 0; p = parts.at(p).next_part) cost += parts.at(p).cost;
+    const double density = mg.importance / (value_by_work ? 1 : cost);
+    mean_value_density =
+        mean_value_density > 0 ? mean_value_density + 0.02 * (density - mean_value_density) : density;
     // What is worth something when late as well may be tried at worse odds.
-    const double odds = (kFillCalm + (kFill - kFillCalm) * jam()) * (1 + 2 * op.late_share);
-    const double fill = std::clamp(odds * std::pow(density / mean_density, jam() > 0 ? 0.5 : 0.0), 0.25, 2.0);
-    return fill * to_micros(std::min(op.latency_budget, mg.last_moment - mg.taken));
+    const double odds =
+        (kCalmBudgetFill + (kCongestedBudgetFill - kCalmBudgetFill) * congestion()) * (1 + 2 * op.late_share);
+    const double fill =
+        std::clamp(odds * std::pow(density / mean_value_density, congestion() > 0 ? 0.5 : 0.0), 0.25, 2.0);
+    return fill * to_micros(std::min(op.latency_budget, mg.reply_deadline - mg.received_at));
   }
 
   // ---- placement ----
@@ -717,244 +753,261 @@
   double warmth(const Replica& r) const {
     if (!r.started) return 1;
     const Duration age = std::max(now - *r.started, Duration::zero());
-    if (age >= cold) return 1;
-    return cold_from + (1 - cold_from) * (to_micros(age) / to_micros(cold));
+    if (age >= warm_up_time) return 1;
+    return initial_warmth + (1 - initial_warmth) * (to_micros(age) / to_micros(warm_up_time));
   }
 
-  double slowness(const Replica& r) const { return r.pace * r.hush / warmth(r); }
+  double expected_slowdown(const Replica& r) const { return r.slowdown * r.overdue_factor / warmth(r); }
 
   // Others' work there; a replica that has not answered yet is expected to take several times as long still.
-  double foreign(const Replica& r) const {
-    return r.asked ? std::max(r.foreign, kAtOnce * kSilence * to_micros(now - *r.asked)) : r.foreign;
+  double expected_others_load(const Replica& r) const {
+    return r.probe_sent_at ? std::max(r.others_load, kReplicaParallelism * kUnansweredProbeFactor *
+                                                         to_micros(now - *r.probe_sent_at))
+                           : r.others_load;
   }
 
   // How long a send of this cost is expected to take.
-  double estimate(const Replica& r, double cost) const {
-    return slowness(r) * (cost + (r.out + r.assigned + foreign(r)) / kAtOnce);
+  double estimated_send_micros(const Replica& r, double cost) const {
+    return expected_slowdown(r) *
+           (cost + (r.in_flight_cost + r.assigned_cost + expected_others_load(r)) / kReplicaParallelism);
   }
 
   // A call's own cost is load, and it is taken from all that the fleet can do, not from this replica alone.
-  double load(Replica& r) {
-    settle(r);
-    const double opening = r.call_parts == 0 ? kOpening * call_cost : 0;
-    return slowness(r) * (r.assigned + r.out + r.recent + foreign(r) + opening);
+  double placement_load(Replica& r) {
+    decay_to_now(r);
+    const double opening = r.parts_in_open_call == 0 ? kNewCallLoadFactor * call_overhead : 0;
+    return expected_slowdown(r) *
+           (r.assigned_cost + r.in_flight_cost + r.recent_cost + expected_others_load(r) + opening);
   }
 
   // The replicas that hold a part's shard and are up, in hash order.
-  void holders(const Part& part) {
+  void collect_candidates(const Part& part) {
     candidates.clear();
     const std::uint64_t shard =
         mix_bits(static_cast<std::uint64_t>(part.shard) * 0x9e3779b97f4a7c15ULL ^ mix_bits(part.key));
     const Multiget& mg = multigets.at(part.multiget);
     for (int j = 0; j < std::min(mg.width, mg.cells); ++j) {
-      for (const int i : by_cell[static_cast<std::size_t>((part.shard + j) % mg.cells)])
-        candidates.push_back({i, mix_bits(rep(i).hash ^ shard), 0, 1});
+      for (const int i : up_replicas_by_cell[static_cast<std::size_t>((part.shard + j) % mg.cells)])
+        candidates.push_back({i, mix_bits(replica_at(i).hash ^ shard), 0, 1});
     }
     std::sort(candidates.begin(), candidates.end(), [](const Candidate& a, const Candidate& b) {
-      return a.rank != b.rank ? a.rank > b.rank : a.replica < b.replica;
+      return a.hash_rank != b.hash_rank ? a.hash_rank > b.hash_rank : a.replica < b.replica;
     });
   }
 
-  bool may_repeat(const Part& part, const Multiget& mg) const {
-    if (part.sent >= most_sends) return false;
-    const OpType& op = type_of(mg);
-    if (op.repeat == RetryClass::retriable) return true;
-    for (int i = 0; i < part.sent; ++i) {
+  bool can_resend(const Part& part, const Multiget& mg) const {
+    if (part.send_count >= max_sends_per_part) return false;
+    const OpType& op = op_type_of(mg);
+    if (op.retry_class == RetryClass::retriable) return true;
+    for (int i = 0; i < part.send_count; ++i) {
       const SendRecord& s = part.send(i);
       if (!s.may_have_run) continue;
       // A send may wait so long for its connection, and has to leave inside the window all the same.
-      if (op.repeat == RetryClass::non_retriable || now > s.at + op.dedupe_window - connecting) return false;
+      if (op.retry_class == RetryClass::non_retriable || now > s.sent_at + op.dedupe_window - connect_timeout)
+        return false;
     }
     return true;
   }
 
   // Rules 1, 2 and 6: every send passes here, whichever server it goes to.
-  bool may_send(const Part& part) const {
+  bool can_send(const Part& part) const {
     const Multiget& mg = multigets.at(part.multiget);
-    if (mg.closed || part.returned || part.step != mg.step || now >= mg.last_moment) return false;
-    if (!may_repeat(part, mg)) return false;
-    const int out = part.out();
-    if (out > 0 && (out > 1 || !copies)) return false;
-    return part.sent == 0 || further_allowed(out > 0);
+    if (mg.closed || part.returned || part.step != mg.step || now >= mg.reply_deadline) return false;
+    if (!can_resend(part, mg)) return false;
+    const int out = part.sends_in_flight();
+    if (out > 0 && (out > 1 || !hedging_allowed)) return false;
+    return part.send_count == 0 || has_resend_budget(out > 0);
   }
 
   // Rules 3 and 4: and then here, by server.
-  bool may_take(const Part& part, Replica& r) {
-    return r.standing == ServerStatus::up && cold_allows(r, part.cost + (r.call_parts == 0 ? call_cost : 0));
+  bool can_accept(const Part& part, Replica& r) {
+    return r.status == ServerStatus::up &&
+           has_cold_capacity(r, part.cost + (r.parts_in_open_call == 0 ? call_overhead : 0));
   }
 
   // The stated budget for further sends, or the module's own for second copies where none is stated; counted
   // to the safe side. A try after a failure adds no work beside the first's, so it needs no budget of ours:
   // with many parts a multiget and few multigets a gatherer, that kept failed parts waiting until the end.
-  bool further_allowed(bool copy) const {
-    if (!budgeted && !copy) return true;
-    const SlidingWindowCounter& made = budgeted ? further : copied;
-    return made.at_most(now) + 1 <= further_free + further_share * taken.at_least(now);
+  bool has_resend_budget(bool copy) const {
+    if (!resend_budget_stated && !copy) return true;
+    const SlidingWindowCounter& made = resend_budget_stated ? resends : hedges;
+    return made.upper_bound(now) + 1 <=
+           resend_floor + resends_per_request * received_requests.lower_bound(now);
   }
 
   // A cold replica falls over when all gatherers together send it more than a multiple of what it can do.
   // Each keeps to its fair share of that: what it sends an ordinary replica, times warmth and multiple.
-  bool cold_allows(Replica& r, double cost) {
+  bool has_cold_capacity(Replica& r, double cost) {
     const double warm = warmth(r);
     if (warm >= 1) return true;
-    const auto& [oldest, its_work] = r.cold_sends[r.cold_next % r.cold_sends.size()];
-    if (its_work > 0 && now - oldest <= cold_window) return false;  // more than can be kept count of
+    const auto& [oldest, its_work] = r.recent_cold_sends[r.next_cold_send % r.recent_cold_sends.size()];
+    if (its_work > 0 && now - oldest <= overload_window) return false;  // more than can be kept count of
     double sent = 0;
-    for (const auto& [at, work] : r.cold_sends) sent += work > 0 && now - at <= cold_window ? work : 0;
+    for (const auto& [at, work] : r.recent_cold_sends)
+      sent += work > 0 && now - at <= overload_window ? work : 0;
     // What others of its size carry for this gatherer, or its share of the one core that every replica has.
-    const double flow = warm_flow * exponential_decay(now - flow_at, kFlowMemory) / to_seconds(kFlowMemory);
-    if (warm_counted_at != now) {
-      warm_counted_at = now;
-      warm_ones = static_cast<double>(std::count_if(replicas.begin(), replicas.end(), [&](const Replica& o) {
-        return o.standing == ServerStatus::up && warmth(o) >= 1;
-      }));
+    const double flow = warm_cost_flow * exponential_decay(now - warm_cost_flow_at, kWarmFlowDecay) /
+                        to_seconds(kWarmFlowDecay);
+    if (warm_replicas_counted_at != now) {
+      warm_replicas_counted_at = now;
+      warm_replica_count =
+          static_cast<double>(std::count_if(replicas.begin(), replicas.end(), [&](const Replica& o) {
+            return o.status == ServerStatus::up && warmth(o) >= 1;
+          }));
     }
-    const double carried = std::max(flow / std::max(warm_ones, 1.0), 1e6 / peers);
-    const double room = cold_multiple * warm * carried * to_seconds(cold_window);
+    const double carried = std::max(flow / std::max(warm_replica_count, 1.0), 1e6 / gatherer_count);
+    const double room = overload_multiple * warm * carried * to_seconds(overload_window);
     if (sent > 0 || cost <= room) return sent + cost <= room;
-    return saved_share(r, cost, room) >= cost;
+    return accrued_cold_credit(r, cost, room) >= cost;
   }
 
   // A share below one send a window is saved until it holds one. As few use theirs, twice the share is saved,
   // and a start has what some windows save; down to the share where other parts are mostly for that cell.
-  double saved_share(Replica& r, double cost, double room) {
-    const double here = asked_of[static_cast<std::size_t>(r.cell)].recent(now, kShardMemory) - 1;
-    const double even = all_asked.recent(now, kShardMemory) * width / cells;
-    const double few = kOverbook * even / std::max({here, even, 1e-9});
-    if (r.saved.start != r.started)
-      r.saved = {cost * std::uniform_real_distribution<>()(chance) + room * std::max(few - 1, 0.0), now,
-                 r.started};
-    return r.saved.grown(now, room * std::max(few / 2, 1.0), cold_window, kSavedSends * cost);
+  double accrued_cold_credit(Replica& r, double cost, double room) {
+    const double here = part_count_by_cell[static_cast<std::size_t>(r.cell)].recent(now, kPartCountDecay) - 1;
+    const double even = total_part_count.recent(now, kPartCountDecay) * width / cells;
+    const double few = kColdShareOverbooking * even / std::max({here, even, 1e-9});
+    if (r.cold_credit.server_start != r.started)
+      r.cold_credit = {cost * std::uniform_real_distribution<>()(rng) + room * std::max(few - 1, 0.0), now,
+                       r.started};
+    return r.cold_credit.accrue(now, room * std::max(few / 2, 1.0), overload_window,
+                                kMaxSavedColdSends * cost);
   }
 
   // Whether a doubtful replica gets work in this turn is drawn from the posterior of its chance of success.
-  double drawn(Replica& r, int op_type) {
-    return std::min(drawn(r.belief, kBeliefMemory),
-                    drawn(r.by_type[static_cast<std::size_t>(op_type)], kTypeMemory));
-  }
-
-  double drawn(Belief& b, Duration memory) {
-    if (b.drawn_at == now) return b.drawn;
-    believe(b, 0, 0, memory);
-    b.drawn_at = now;
-    b.drawn = 1;
-    if (b.bad > 0.3) {
-      const double x = std::gamma_distribution<double>(b.good, 1)(chance);
-      const double y = std::gamma_distribution<double>(b.bad, 1)(chance);
-      b.drawn = x / std::max(x + y, 1e-9);
+  double sample_success(Replica& r, int op_type) {
+    return std::min(
+        sample_success(r.success, kReplicaResultDecay),
+        sample_success(r.success_by_op_type[static_cast<std::size_t>(op_type)], kOpTypeResultDecay));
+  }
+
+  double sample_success(SuccessEstimate& b, Duration memory) {
+    if (b.sampled_at == now) return b.sample;
+    record_result(b, 0, 0, memory);
+    b.sampled_at = now;
+    b.sample = 1;
+    if (b.failures > 0.3) {
+      const double x = std::gamma_distribution<double>(b.successes, 1)(rng);
+      const double y = std::gamma_distribution<double>(b.failures, 1)(rng);
+      b.sample = x / std::max(x + y, 1e-9);
     }
-    return b.drawn;
+    return b.sample;
   }
 
   // The design's choice among a part's replicas; -1 where none may be sent to.
-  int pick(const Part& part) { return may_send(part) ? choose(part) : -1; }
+  int choose_replica_if_allowed(const Part& part) { return can_send(part) ? choose_replica(part) : -1; }
 
-  int choose(const Part& part) {
-    holders(part);
+  int choose_replica(const Part& part) {
+    collect_candidates(part);
     const Multiget& mg = multigets.at(part.multiget);
-    const double trust = type_of(mg).repeat == RetryClass::retriable ? 0.4 : 0.9;
-    std::erase_if(candidates, [&](const Candidate& c) { return !may_take(part, rep(c.replica)); });
+    const double trust = op_type_of(mg).retry_class == RetryClass::retriable ? 0.4 : 0.9;
+    std::erase_if(candidates, [&](const Candidate& c) { return !can_accept(part, replica_at(c.replica)); });
     if (candidates.empty()) return -1;
     const auto tried = [&](const Candidate& c) {
-      for (int i = 0; i < part.sent; ++i) {
+      for (int i = 0; i < part.send_count; ++i) {
         if (part.send(i).replica == c.replica) return true;
       }
       return false;
     };
-    if (part.out() > 0 || !std::all_of(candidates.begin(), candidates.end(), tried)) {
+    if (part.sends_in_flight() > 0 || !std::all_of(candidates.begin(), candidates.end(), tried)) {
       std::erase_if(candidates, tried);
-    } else if (part.sent > 0 && now < part.send(part.sent - 1).at + part.sent * kRest) {
+    } else if (part.send_count > 0 &&
+               now < part.send(part.send_count - 1).sent_at + part.send_count * kRetryRoundPause) {
       return -1;
     }
     if (candidates.empty()) return -1;
     double best = 0;
     for (Candidate& c : candidates) {
-      c.chance = drawn(rep(c.replica), mg.op_type);
-      best = std::max(best, c.chance);
+      c.success_sample = sample_success(replica_at(c.replica), mg.op_type);
+      best = std::max(best, c.success_sample);
     }
-    std::erase_if(candidates, [&](const Candidate& c) { return c.chance < std::min(trust, best); });
+    std::erase_if(candidates, [&](const Candidate& c) { return c.success_sample < std::min(trust, best); });
     double least = std::numeric_limits<double>::infinity();
     int least_loaded = -1;
     double total = 0;
     for (Candidate& c : candidates) {
-      const Replica& r = rep(c.replica);
-      c.load = load(rep(c.replica));
-      if (r.zone != zone) c.load += crossing * part.cost;
-      total += had_of(part.shard, c.replica);
+      const Replica& r = replica_at(c.replica);
+      c.load = placement_load(replica_at(c.replica));
+      if (r.zone != zone) c.load += cross_zone_weight * part.cost;
+      total += recent_part_count(part.shard, c.replica);
       if (c.load < least) {
         least = c.load;
         least_loaded = c.replica;
       }
     }
-    if (candidates.front().load > least * kMargin) return least_loaded;
-    const double cap = total / static_cast<double>(candidates.size()) + kTieShare * total;
+    if (candidates.front().load > least * kPreferenceMargin) return least_loaded;
+    const double cap = total / static_cast<double>(candidates.size()) + kTieExtraShare * total;
     for (const Candidate& c : candidates) {
-      if (c.load <= least * kMargin && had_of(part.shard, c.replica) <= cap) return c.replica;
+      if (c.load <= least * kPreferenceMargin && recent_part_count(part.shard, c.replica) <= cap)
+        return c.replica;
     }
     return candidates.front().replica;
   }
 
-  double& had_of(int shard, int replica) {
-    return had[static_cast<std::size_t>(replica) * static_cast<std::size_t>(shards) +
-               static_cast<std::size_t>(shard % shards)];
+  double& recent_part_count(int shard, int replica) {
+    return part_counts[static_cast<std::size_t>(replica) * static_cast<std::size_t>(shards) +
+                       static_cast<std::size_t>(shard % shards)];
   }
 
-  void commit(int place, int to) {
+  void add_send(int place, int to) {
     Part& part = parts.at(place);
     Multiget& mg = multigets.at(part.multiget);
-    Replica& r = rep(to);
-    const bool opens = r.call_parts == 0;
-    touched.push_back(to);
-    r.call_parts = (r.call_parts + 1) % call_room;
-    const double cost = part.cost + (opens ? call_cost : 0);
-    SendRecord& s = part.sends[static_cast<std::size_t>(part.sent++)];
+    Replica& r = replica_at(to);
+    const bool opens = r.parts_in_open_call == 0;
+    touched_replicas.push_back(to);
+    r.parts_in_open_call = (r.parts_in_open_call + 1) % max_parts_per_call;
+    const double cost = part.cost + (opens ? call_overhead : 0);
+    SendRecord& s = part.sends[static_cast<std::size_t>(part.send_count++)];
     s = SendRecord{};
     s.replica = to;
-    s.at = now;
-    s.charge = cost;
-    s.alone = r.out + r.assigned <= (opens ? 0 : call_cost) + 0.05 * cost;
-    s.base = part.cost + call_cost + (r.out + r.assigned + foreign(r) - (opens ? 0 : call_cost)) / kAtOnce;
-    mean_charge += 0.02 * (cost - mean_charge);
+    s.sent_at = now;
+    s.in_flight_cost = cost;
+    s.replica_was_idle = r.in_flight_cost + r.assigned_cost <= (opens ? 0 : call_overhead) + 0.05 * cost;
+    s.unscaled_micros =
+        part.cost + call_overhead +
+        (r.in_flight_cost + r.assigned_cost + expected_others_load(r) - (opens ? 0 : call_overhead)) /
+            kReplicaParallelism;
+    mean_send_cost += 0.02 * (cost - mean_send_cost);
     // Measured by the fleet, so that a replica known as slow does not get more time for it.
-    s.expect = std::min(slowness(r), fleet_pace / warmth(r)) * s.base;
-    s.out = true;
-    if (part.sent > 1) further.add(now);
-    if (part.out() > 1) copied.add(now);
-    r.assigned += cost;
-    if (warmth(r) < 1) r.cold_sends[r.cold_next++ % r.cold_sends.size()] = {now, cost};
-    r.saved.work -= cost;
-    mg.sends_out += 1;
-    had_of(part.shard, to) += had_unit;
+    s.expected_micros = std::min(expected_slowdown(r), fleet_slowdown / warmth(r)) * s.unscaled_micros;
+    s.in_flight = true;
+    if (part.send_count > 1) resends.add(now);
+    if (part.sends_in_flight() > 1) hedges.add(now);
+    r.assigned_cost += cost;
+    if (warmth(r) < 1) r.recent_cold_sends[r.next_cold_send++ % r.recent_cold_sends.size()] = {now, cost};
+    r.cold_credit.work -= cost;
+    mg.sends_in_flight += 1;
+    recent_part_count(part.shard, to) += part_count_unit;
     // Nor is it begun behind another's frame when the window of an earlier one that may have run is over.
-    Duration begun_by = mg.last_moment;
-    for (int i = 0; i + 1 < part.sent && type_of(mg).repeat == RetryClass::deduped; ++i)
+    Duration begun_by = mg.reply_deadline;
+    for (int i = 0; i + 1 < part.send_count && op_type_of(mg).retry_class == RetryClass::deduped; ++i)
       if (part.send(i).may_have_run)
-        begun_by = std::min(begun_by, part.send(i).at + type_of(mg).dedupe_window);
-    plan.push_back({part.id, r.server, mg.last_moment, begun_by});
+        begun_by = std::min(begun_by, part.send(i).sent_at + op_type_of(mg).dedupe_window);
+    planned_sends.push_back({part.id, r.server, mg.reply_deadline, begun_by});
   }
 
   // Looks over what is out: replicas that keep silent, and parts that want a second copy.
-  void look_over() {
-    for (const int i : touched) {
-      rep(i).hush = 1;
-      rep(i).call_parts = 0;
+  void update_overdue_sends() {
+    for (const int i : touched_replicas) {
+      replica_at(i).overdue_factor = 1;
+      replica_at(i).parts_in_open_call = 0;
     }
-    touched.clear();
-    for (const int m : hand) {
-      for (int p = multigets.at(m).first_part; p >= 0; p = parts.at(p).next) {
+    touched_replicas.clear();
+    for (const int m : open_multigets) {
+      for (int p = multigets.at(m).first_part; p >= 0; p = parts.at(p).next_part) {
         Part& part = parts.at(p);
-        for (int i = 0; i < part.sent; ++i) {
+        for (int i = 0; i < part.send_count; ++i) {
           SendRecord& s = part.send(i);
-          if (!s.out || s.withdrawn) continue;
-          Replica& r = rep(s.replica);
-          const double over = to_micros(now - s.at) / std::max(s.expect, 1.0);
+          if (!s.in_flight || s.cancelled) continue;
+          Replica& r = replica_at(s.replica);
+          const double over = to_micros(now - s.sent_at) / std::max(s.expected_micros, 1.0);
           if (over > 1.5) {
-            r.hush = std::max(r.hush, over);
-            touched.push_back(s.replica);
+            r.overdue_factor = std::max(r.overdue_factor, over);
+            touched_replicas.push_back(s.replica);
           }
-          if (over > kOverdue && !s.counted_late) {
-            s.counted_late = true;
-            believe(r, multigets.at(m).op_type, 0, 0.5);
+          if (over > kHedgeOverdueFactor && !s.counted_overdue) {
+            s.counted_overdue = true;
+            record_result(r, multigets.at(m).op_type, 0, 0.5);
           }
         }
       }
@@ -962,163 +1015,178 @@
   }
 
   // Whether a replica that is overdue does not answer a look either; a replica that only has much to do does.
-  bool silent(int replica) {
-    Replica& r = rep(replica);
-    if (probing && !r.asked && now - r.news_at >= kStale) {
-      r.asked = now;
-      looks.push_back(replica);
+  bool is_unresponsive(int replica) {
+    Replica& r = replica_at(replica);
+    if (probing_allowed && !r.probe_sent_at && now - r.load_reported_at >= kMaxReportAge) {
+      r.probe_sent_at = now;
+      pending_probes.push_back(replica);
     }
-    return r.asked && now - *r.asked >= std::max(kSilent, from_micros(kSilence * look_time));
+    return r.probe_sent_at &&
+           now - *r.probe_sent_at >=
+               std::max(kMinUnansweredProbeTime, from_micros(kUnansweredProbeFactor * mean_probe_micros));
   }
 
-  void want_copies() {
-    for (const int m : hand) {
+  void hedge_or_move_overdue_parts() {
+    for (const int m : open_multigets) {
       const Multiget& mg = multigets.at(m);
       if (mg.closed || !mg.admitted) continue;
-      for (int p = mg.first_part; p >= 0; p = parts.at(p).next) {
+      for (int p = mg.first_part; p >= 0; p = parts.at(p).next_part) {
         Part& part = parts.at(p);
-        if (part.returned || part.pending || part.step != mg.step || part.sent == 0) continue;
-        const SendRecord& last = part.sends[static_cast<std::size_t>(part.sent - 1)];
-        const double waited = to_micros(now - last.at);
-        if (!last.out || waited < (copies ? kOverdue : kDoubted) * last.expect || !may_repeat(part, mg))
+        if (part.returned || part.pending || part.step != mg.step || part.send_count == 0) continue;
+        const SendRecord& last = part.sends[static_cast<std::size_t>(part.send_count - 1)];
+        const double waited = to_micros(now - last.sent_at);
+        if (!last.in_flight ||
+            waited <
+                (hedging_allowed ? kHedgeOverdueFactor : kMoveUnresponsiveFactor) * last.expected_micros ||
+            !can_resend(part, mg))
           continue;
-        if (part.out() > 1) {
-          withdraw_all(p, part.sent - 1);  // both are overdue: the older one makes room for a third
+        if (part.sends_in_flight() > 1) {
+          cancel_sends(p, part.send_count - 1);  // both are overdue: the older one makes room for a third
           continue;
         }
-        if (!copies && last.withdrawn) continue;
-        if (!copies && !silent(last.replica) && waited < kMoved * last.expect) continue;
-        const int to = copies ? pick(part) : choose(part);
-        if (to < 0 || estimate(rep(to), part.cost + call_cost) > 2 * waited) continue;
+        if (!hedging_allowed && last.cancelled) continue;
+        if (!hedging_allowed && !is_unresponsive(last.replica) &&
+            waited < kMoveOverdueFactor * last.expected_micros)
+          continue;
+        const int to = hedging_allowed ? choose_replica_if_allowed(part) : choose_replica(part);
+        if (to < 0 || estimated_send_micros(replica_at(to), part.cost + call_overhead) > 2 * waited) continue;
         // Where no two may be out at once, the overdue send is withdrawn, and its end sends the part again.
-        if (copies)
-          commit(p, to);
+        if (hedging_allowed)
+          add_send(p, to);
         else
-          withdraw_all(p);
+          cancel_sends(p);
       }
     }
   }
 
-  void place_parts() {
-    planned = true;
-    plan.clear();
-    plan_cursor = 0;
-    look_over();
-    std::erase_if(pending, [&](int p) { return !parts.at(p).pending; });
-    std::sort(pending.begin(), pending.end(), [&](int a, int b) {
+  void plan_sends() {
+    sends_planned = true;
+    planned_sends.clear();
+    next_planned_send = 0;
+    update_overdue_sends();
+    std::erase_if(pending_parts, [&](int p) { return !parts.at(p).pending; });
+    std::sort(pending_parts.begin(), pending_parts.end(), [&](int a, int b) {
       const Part& x = parts.at(a);
       const Part& y = parts.at(b);
-      return x.cost != y.cost ? x.cost > y.cost : x.order < y.order;
+      return x.cost != y.cost ? x.cost > y.cost : x.arrival_order < y.arrival_order;
     });
     std::size_t kept = 0;
-    for (const int p : pending) {
-      if (const int to = pick(parts.at(p)); to >= 0) {
+    for (const int p : pending_parts) {
+      if (const int to = choose_replica_if_allowed(parts.at(p)); to >= 0) {
         parts.at(p).pending = false;
-        commit(p, to);
+        add_send(p, to);
       } else {
-        pending[kept++] = p;
+        pending_parts[kept++] = p;
       }
     }
-    pending.resize(kept);
-    want_copies();
+    pending_parts.resize(kept);
+    hedge_or_move_overdue_parts();
     // Newer parts count more instead of older ones less; only their ratios are used.
-    had_unit /= exponential_decay(now - had_at, kShardMemory);
-    had_at = now;
-    if (had_unit > 1e100) {
-      for (double& h : had) h /= had_unit;
-      had_unit = 1;
+    part_count_unit /= exponential_decay(now - part_count_unit_at, kPartCountDecay);
+    part_count_unit_at = now;
+    if (part_count_unit > 1e100) {
+      for (double& h : part_counts) h /= part_count_unit;
+      part_count_unit = 1;
     }
-    for (const int i : touched) {
-      Replica& r = rep(i);
-      settle(r);
-      r.out += r.assigned;
-      r.recent += r.assigned;
-      r.assigned = 0;
+    for (const int i : touched_replicas) {
+      Replica& r = replica_at(i);
+      decay_to_now(r);
+      r.in_flight_cost += r.assigned_cost;
+      r.recent_cost += r.assigned_cost;
+      r.assigned_cost = 0;
     }
   }
 
   std::optional<SendCancellation> next_cancellation() {
-    if (withdrawals.empty()) return std::nullopt;
-    const SendCancellation w = withdrawals.back();
-    withdrawals.pop_back();
+    if (cancellations.empty()) return std::nullopt;
+    const SendCancellation w = cancellations.back();
+    cancellations.pop_back();
     return w;
   }
 
   std::optional<Send> next_send() {
-    if (!planned) place_parts();
-    if (plan_cursor >= plan.size()) return std::nullopt;
-    return plan[plan_cursor++];
+    if (!sends_planned) plan_sends();
+    if (next_planned_send >= planned_sends.size()) return std::nullopt;
+    return planned_sends[next_planned_send++];
   }
 
   std::optional<ListCall> next_list_call() {
-    if (contract.text("registry-mode", "push") != "ask" || watching || now < ask_from) return std::nullopt;
-    if (asked_at && now - *asked_at < contract.duration("contract.ask-every", 10s) / 2) return std::nullopt;
-    asked_at = now;
+    if (settings.text("registry-mode", "push") != "ask" || watching_list || now < next_list_call_at)
+      return std::nullopt;
+    if (list_call_sent_at && now - *list_call_sent_at < settings.duration("contract.ask-every", 10s) / 2)
+      return std::nullopt;
+    list_call_sent_at = now;
     return ListCall::watch;
   }
 
   std::optional<std::string> next_log_message() {
-    if (now - noted_at < 5s) note.reset();
-    if (note) noted_at = now;
-    return std::exchange(note, std::nullopt);
+    if (now - last_log_message_at < 5s) log_message.reset();
+    if (log_message) last_log_message_at = now;
+    return std::exchange(log_message, std::nullopt);
   }
 
   std::optional<Duration> next_wake_delay() {
-    Duration want = now + (hand.empty() ? Duration(200ms) : kGlance);
-    if (!watching && ask_from > now) want = std::min(want, ask_from);
-    if (wake_set && *wake_set <= want) return std::nullopt;
-    wake_set = want;
+    Duration want = now + (open_multigets.empty() ? Duration(200ms) : kReviewInterval);
+    if (!watching_list && next_list_call_at > now) want = std::min(want, next_list_call_at);
+    if (scheduled_wake && *scheduled_wake <= want) return std::nullopt;
+    scheduled_wake = want;
     return want - now;
   }
 
-  SettingsReader contract;
-  std::mt19937 chance;
+  SettingsReader settings;
+  std::mt19937 rng;
   std::vector<OpType> op_types;
   std::vector<Customer> customers;
-  double call_cost = 0;
-  int present = 1;  // op types that new multigets may have; behind them, those that some in hand still have
-  int call_room = 1, cells = 1, width = 1, shards = 1, most_sends = 1, zone = 0;
-  double peers = 1;
-  Duration tick{}, connecting{}, cold{}, cold_window{}, warm_counted_at = Duration::min() / 2;
-  double cold_from = 1, cold_multiple = 1, warm_ones = 0, further_free = 0, further_share = 0;
-  bool copies = false, cancels = false, budgeted = false, by_work = false;
-  double crossing = 0;           // load that crossing zones adds, by the part's cost
-  SlidingWindowCounter taken;    // multigets and parts
-  SlidingWindowCounter further;  // sends beyond each part's first
-  SlidingWindowCounter copied;   // and those while another was out
+  double call_overhead = 0;
+  int current_op_types =
+      1;  // op types that new multigets may have; behind them, those that some in hand still have
+  int max_parts_per_call = 1, cells = 1, width = 1, shards = 1, max_sends_per_part = 1, zone = 0;
+  double gatherer_count = 1;
+  Duration tick{}, connect_timeout{}, warm_up_time{}, overload_window{},
+      warm_replicas_counted_at = Duration::min() / 2;
+  double initial_warmth = 1, overload_multiple = 1, warm_replica_count = 0, resend_floor = 0,
+         resends_per_request = 0;
+  bool hedging_allowed = false, cancellation_allowed = false, resend_budget_stated = false,
+       value_by_work = false;
+  double cross_zone_weight = 0;            // load that crossing zones adds, by the part's cost
+  SlidingWindowCounter received_requests;  // multigets and parts
+  SlidingWindowCounter resends;            // sends beyond each part's first
+  SlidingWindowCounter hedges;             // and those while another was out
   SlotMap<Multiget> multigets;
   SlotMap<Part> parts;
-  std::vector<int> hand;  // multigets in the order of their arrival
-  std::vector<int> released, pending, looks;
-  std::vector<int> touched;  // replicas whose state of this turn is to be cleared
-  std::vector<Send> plan;
-  std::vector<SendCancellation> withdrawals;
+  std::vector<int> open_multigets;  // multigets in the order of their arrival
+  std::vector<int> releasable_multigets, pending_parts, pending_probes;
+  std::vector<int> touched_replicas;  // replicas whose state of this turn is to be cleared
+  std::vector<Send> planned_sends;
+  std::vector<SendCancellation> cancellations;
   std::vector<Candidate> candidates;
-  std::vector<std::pair<double, double>> times;  // of a multiget's parts, and their weights
+  std::vector<std::pair<double, double>> part_estimates;  // of a multiget's parts, and their weights
   std::vector<Replica> replicas;
-  std::vector<int> spare;  // places of replicas that are forgotten
-  std::map<std::string, int, std::less<>> by_server;
-  std::vector<std::vector<int>> by_cell;
-  CellFlow all_asked;
-  std::vector<CellFlow> asked_of;  // parts by cell, faded as a shard's are
-  std::vector<double> had;         // recent parts by shard and replica
-  double had_unit = 1;
-  Duration now{}, had_at{}, flow_at{}, own_rate_at{}, looked_at{-1h}, ask_from{}, noted_at{-1h};
-  std::size_t verdict_cursor = 0, plan_cursor = 0;
-  bool planned = false, probing = false;
-  std::uint64_t next_order = 0;
-  double fleet_pace = 1;
-  double fleet_wait = 1;                // time that answers lately took for their own work
-  double allowances = 0, own_rate = 0;  // multigets a second; and counted, faded
-  double mean_density = 0, mean_charge = 100'000, look_price = 0, look_time = 1000;
-  double missed = 0.05;                      // share of own multigets not answered within the latency budget
-  double fleet_foreign = 0, fleet_held = 1;  // others' work, and parts held, at a replica
-  double warm_flow = 0;                      // own cost that warm replicas answered for, faded
-  std::array<double, 4> unit{};              // parts in hand that one of each reported value stands for
-  bool list_remembered = false, watching = false;
-  std::optional<Duration> asked_at, wake_set;
-  int refusals = 0;
-  std::optional<std::string> note;
+  std::vector<int> free_replica_slots;  // places of replicas that are forgotten
+  std::map<std::string, int, std::less<>> replica_by_server;
+  std::vector<std::vector<int>> up_replicas_by_cell;
+  DecayingCount total_part_count;
+  std::vector<DecayingCount> part_count_by_cell;  // parts by cell, faded as a shard's are
+  std::vector<double> part_counts;                // recent parts by shard and replica
+  double part_count_unit = 1;
+  Duration now{}, part_count_unit_at{}, warm_cost_flow_at{}, multiget_counted_at{}, last_probe_end{-1h},
+      next_list_call_at{}, last_log_message_at{-1h};
+  std::size_t reply_cursor = 0, next_planned_send = 0;
+  bool sends_planned = false, probing_allowed = false;
+  std::uint64_t next_arrival_order = 0;
+  double fleet_slowdown = 1;
+  double fleet_wait_ratio = 1;  // time that answers lately took for their own work
+  double total_allowance_per_s = 0, recent_multiget_count = 0;  // multigets a second; and counted, faded
+  double mean_value_density = 0, mean_send_cost = 100'000, probe_price = 0, mean_probe_micros = 1000;
+  double miss_rate = 0.05;  // share of own multigets not answered within the latency budget
+  double fleet_others_load = 0, fleet_parts_held = 1;  // others' work, and parts held, at a replica
+  double warm_cost_flow = 0;                           // own cost that warm replicas answered for, faded
+  std::array<double, 4>
+      parts_per_reported_unit{};  // parts in hand that one of each reported value stands for
+  bool list_is_remembered = false, watching_list = false;
+  std::optional<Duration> list_call_sent_at, scheduled_wake;
+  int consecutive_refusals = 0;
+  std::optional<std::string> log_message;
 };
 
 DecisionEngine::DecisionEngine(const FlatSettings& terms, std::uint32_t seed)
@@ -1157,6 +1225,6 @@
 std::optional<ListCall> DecisionEngine::next_list_call() { return impl_->next_list_call(); }
 std::optional<std::string> DecisionEngine::next_log_message() { return impl_->next_log_message(); }
 std::optional<Duration> DecisionEngine::next_wake_delay() { return impl_->next_wake_delay(); }
-std::size_t DecisionEngine::known_server_count() const { return impl_->by_server.size(); }
+std::size_t DecisionEngine::known_server_count() const { return impl_->replica_by_server.size(); }
 
 }  // namespace marbledyke
