--- a/src/decision_engine.cpp
+++ b/src/decision_engine.cpp
@@ -1,15 +1,16 @@
-// marbledyke: every decision of the gatherer.
-// Invoked by a host (src/gatherer/ on sockets, src/wirehost/ on the simulator's wire): it makes one
-// DecisionEngine for each instance from the operators' terms and a seed, reports in each turn what has come
-// in, then pulls what is decided. The interface is src/decision_engine.h, the plain types are in src/model/.
-// The ordinary path is the design of docs/design.md: place_parts() and pick(). Mechanisms beside the design
-// (at most six):
-//   1. belief     a posterior of success for each replica; whether a doubtful one gets work is drawn from it
-//   2. pace       how slowly each replica answers for its load, and how long it has been silent
-//   3. copies     further sends: tries after failures, second copies of overdue parts, within a budget
-//   4. warm-up    what a cold replica may be sent: this gatherer's fair share of a budget over the window
-//   5. admission  pushing back at once what cannot be finished in time, least important first
-//   6. looks      asking replicas for their load before parts are placed, as far as that pays
+// The decision engine: every decision of a gatherer. A host (src/gatherer/ on sockets, src/wirehost/ on the
+// simulator's wire) makes one DecisionEngine for each instance from the operators' settings and a seed,
+// reports in each turn what has happened, and then pulls the decisions. The ordinary path follows
+// docs/design.md: plan_sends() and choose_replica(). Beside it there are these mechanisms, at most six:
+//   1. success estimates  a posterior of success for each replica; a sample from it decides whether a replica
+//                         with failures gets work
+//   2. slowdown           how slowly each replica answers for its load, and how overdue its oldest send is
+//   3. resends            retries after failures and hedges of overdue parts, within a budget
+//   4. warm-up            limits what a cold replica is sent to this gatherer's fair share of a budget for a
+//                         window
+//   5. admission          pushes back at once what cannot be finished in time, least important first
+//   6. probes             asks replicas for their load before parts are placed, as far as that pays
+// The numbers of rules in comments are those of src/checker/.
 #include "decision_engine.h"
 
 #include <algorithm>
@@ -32,51 +33,63 @@
 
 using namespace std::chrono_literals;
 
-// clang-format off
-constexpr double kWeightTolerance = 1e-5;        // of weights
-constexpr double kPreferenceMargin = 1.05;          // the design: the preferred replica keeps a part within 5%
-constexpr double kTieExtraShare = 0.2;         // the design: on ties, a fifth of a shard's parts above its share
-constexpr Duration kRecentCostDecay = 1s;              // the design: cost recently sent decays over this
-constexpr Duration kPartCountDecay = 10s;        // over which a shard's recent parts are counted
-constexpr Duration kWarmFlowDecay = 5s;          // over which the ordinary flow to a replica is averaged
-constexpr double kMaxSuccesses = 5;           // a long good record does not delay doubt
-constexpr double kMaxFailures = 8;            // nor a long bad one belief
-constexpr Duration kOpTypeResultDecay = 20s;         // and that about one op type more slowly, as it is rarer
-constexpr Duration kReplicaResultDecay = 6s;        // evidence about a replica as a whole fades over this
-constexpr double kPriorSuccesses = 2;              // successes that a replica is credited with
-constexpr Duration kReviewInterval = 10ms;            // how often what is in hand is looked over
-constexpr double kHedgeOverdueFactor = 4;            // multiple of its expectation at which a send is due a copy
-constexpr double kMoveOverdueFactor = 6;              // and at which it is moved, where no copy may go beside it
-constexpr Duration kRetryRoundPause = 100ms;             // before a part goes round its replicas again, by its sends
-constexpr double kMoveUnresponsiveFactor = 3;            // or at this, if the replica is silent when asked
-constexpr Duration kMinUnansweredProbeTime = 100ms;           // a look that is out for so long counts as that
-constexpr double kSlowdownGain = 0.2;         // weight of the newest answer in a replica's pace
-constexpr Duration kSlowdownDecay = 10s;         // a replica's pace drifts back to the fleet's over this
-constexpr double kNewCallLoadFactor = 3;            // a call to be opened counts as load at this multiple of its cost
-constexpr double kCrossZoneFactor = 4;           // weight of the price of crossing zones against that of wasted work
-constexpr double kDefaultHedgesPerRequest = 0.25;      // further sends a multiget or part taken, where no budget is stated
-constexpr double kDefaultHedgeFloor = 10;    // and in addition
-constexpr double kCongestedBudgetFill = 0.5;             // share of the latency budget to fill while the fleet is jammed
-constexpr double kCalmBudgetFill = 1.3;         // and while it is calm: then odd replicas make expectations long
-constexpr double kFleetLoadGain = 0.02;        // weight of the newest answer in the fleet's wait
-constexpr double kCalmWaitRatio = 2;           // calm while answers take up to this multiple of their own work
-constexpr double kCongestedWaitRatio = 4;         // and jammed from this
-constexpr double kAverageGain = 0.05;     // weight of the newest multiget in stretch, report in fleet_held
-constexpr Duration kReportedLoadDecay = 1s;                // a reported load drifts back to the fleet's over this
-constexpr Duration kMaxReportAge = 500ms;            // a replica with news older than this is asked before it is sent to
-constexpr Duration kProbeWait = 40ms;              // how long a multiget waits for that
-constexpr double kUnansweredProbeFactor = 20;           // an unanswered look stands for this multiple of the time it is out
-constexpr double kReplicaParallelism = 2;             // parts that a replica is taken to work on at once
-constexpr double kColdShareOverbooking = 4;           // of so many gatherers one uses its share of a cold replica
-constexpr double kMaxSavedColdSends = 2;         // sends up to which a share of it is saved: the next, and one after
-constexpr double kMissRateGain = 0.1;         // weight of the newest multiget in the share that misses its budget
-// clang-format on
+constexpr double kWeightTolerance = 1e-5;  // for rounding in sums of weights
+
+// Choice among the replicas of a part, from the design.
+constexpr double kPreferenceMargin = 1.05;  // the preferred replica keeps a part within 5% of the least load
+constexpr double kTieExtraShare = 0.2;  // on ties, a replica takes a fifth of a shard's parts above its share
+constexpr Duration kRecentCostDecay = 1s;
+constexpr Duration kPartCountDecay = 10s;  // of counts of recent parts and multigets
+constexpr Duration kWarmFlowDecay = 5s;    // of the cost sent to warm replicas
+constexpr double kNewCallLoadFactor = 3;   // weight of a new call's overhead as load
+constexpr double kCrossZoneFactor = 4;  // weight of the price of crossing zones against that of wasted work
+constexpr double kReplicaParallelism = 2;  // parts that a replica is assumed to work on at once
+
+// Success estimates. The caps keep a long good record from delaying doubt, and a long bad one from delaying
+// recovery.
+constexpr double kMaxSuccesses = 5;
+constexpr double kMaxFailures = 8;
+constexpr double kPriorSuccesses = 2;
+constexpr Duration kReplicaResultDecay = 6s;
+constexpr Duration kOpTypeResultDecay = 20s;  // longer, as results for a single op type are rarer
+
+// Slowdown and resends.
+constexpr Duration kReviewInterval = 10ms;     // how often the open multigets are reviewed
+constexpr double kHedgeOverdueFactor = 4;      // multiple of its expectation at which a send is hedged
+constexpr double kMoveOverdueFactor = 6;       // multiple at which it is moved where hedging is not allowed
+constexpr double kMoveUnresponsiveFactor = 3;  // the same if the replica does not answer a probe either
+constexpr Duration kMinUnansweredProbeTime = 100ms;  // after which a probe counts as not answered
+constexpr double kUnansweredProbeFactor = 20;        // the same, as a multiple of the mean probe time
+constexpr Duration kRetryRoundPause = 100ms;       // per earlier send, before a part tries its replicas again
+constexpr double kSlowdownGain = 0.2;              // weight of the newest answer in a replica's slowdown
+constexpr Duration kSlowdownDecay = 10s;           // of a replica's slowdown towards the fleet's
+constexpr double kDefaultHedgesPerRequest = 0.25;  // per multiget or part received, where no budget is stated
+constexpr double kDefaultHedgeFloor = 10;          // in addition to these
+
+// Admission.
+constexpr double kCongestedBudgetFill = 0.5;  // usable fraction of the latency budget while congested
+constexpr double kCalmBudgetFill = 1.3;       // and while calm, when a few slow replicas make estimates long
+constexpr double kCalmWaitRatio = 2;          // calm while answers take up to this multiple of their own work
+constexpr double kCongestedWaitRatio = 4;     // fully congested from this multiple
+constexpr double kFleetLoadGain = 0.02;       // weight of the newest answer in the fleet's wait and load
+constexpr double kAverageGain = 0.05;         // weight of the newest value in slower moving averages
+constexpr double kMissRateGain = 0.1;         // weight of the newest multiget in the miss rate
+
+// Probes.
+constexpr Duration kReportedLoadDecay = 1s;  // of a reported load towards the fleet's
+constexpr Duration kMaxReportAge = 500ms;    // a replica with an older load report is probed
+constexpr Duration kProbeWait = 40ms;        // how long a multiget waits for the probes of its replicas
+
+// Cold replicas.
+constexpr double kColdShareOverbooking = 4;  // one of so many gatherers uses its share of a cold replica
+constexpr double kMaxSavedColdSends =
+    2;  // unused share is saved up to this many sends: the next one and one after
 
 }  // namespace
 
 struct DecisionEngine::Impl {
-  Impl(const FlatSettings& terms, std::uint32_t seed)
-      : settings(terms),
+  Impl(const FlatSettings& new_settings, std::uint32_t seed)
+      : settings(new_settings),
         rng(seed),
         multigets(static_cast<std::size_t>(settings.at_least("limits.max-open", 1000, 1))),
         parts(static_cast<std::size_t>(settings.at_least("limits.max-open", 1000, 1))) {
@@ -100,7 +113,7 @@
     max_sends_per_part =
         static_cast<int>(std::min(settings.at_least("limits.attempts-cap", 1, 1), double{kMaxSendsPerPart}));
     zone = static_cast<int>(settings.number("zone", 0));
-    // Crossing zones costs what wasting so much of a part's work would.
+    // Expressed as the fraction of a part's work whose waste would cost the same.
     cross_zone_weight = kCrossZoneFactor * settings.at_least("prices.cross-zone", 0, 0) /
                         std::max(settings.at_least("prices.waste", 0, 0), 0.05);
     gatherer_count = settings.at_least("replicas-of-me", 1, 1);
@@ -129,28 +142,28 @@
     value_by_work = settings.text("value-by", "request") == "work";
     probe_price =
         settings.at_least("prices.probe", 0, 0) + settings.at_least("prices.handshake", 0, 0) + 1e-4;
-    bool all_told = false;
+    bool has_active_field = false;
     for (std::size_t i = 0; i < parts_per_reported_unit.size(); ++i) {
       const std::string field = settings.text("telemetry.fields." + std::to_string(i), "");
-      all_told |= field == "active";
+      has_active_field |= field == "active";
       parts_per_reported_unit[i] = field == "active" || field == "waiting" ? 1
-                                   : field == "cpu" && !all_told           ? kReplicaParallelism
+                                   : field == "cpu" && !has_active_field   ? kReplicaParallelism
                                                                            : 0;
     }
     const Duration window = settings.duration("contract.resend-span", 10s);
     received_requests.set_window(window, now, 0);
-    for (SlidingWindowCounter* made : {&resends, &hedges})
-      made->set_window(window, now, made->upper_bound(now));
+    for (SlidingWindowCounter* counter : {&resends, &hedges})
+      counter->set_window(window, now, counter->upper_bound(now));
     up_replicas_by_cell.resize(static_cast<std::size_t>(cells));
     part_count_by_cell.resize(std::max(part_count_by_cell.size(), up_replicas_by_cell.size()));
   }
 
-  // New terms in a running gatherer. What is in hand ends under the op type and the layout that it was taken
-  // with; what was learned stays, and what was sent goes on counting against the budgets.
-  void update_settings(const FlatSettings& terms) {
+  // Replaces the settings of a running gatherer. Open multigets end under the op type and the shard layout
+  // that they arrived with. What was learned stays, and earlier sends go on counting against the budgets.
+  void update_settings(const FlatSettings& new_settings) {
     const std::vector<OpType> before = std::exchange(op_types, {});
     std::vector<int> kept(before.size(), -1);
-    settings = SettingsReader(terms);
+    settings = SettingsReader(new_settings);
     read_settings();
     for (OpType& op : op_types) {
       for (const OpType& old : before) {
@@ -160,12 +173,12 @@
       }
     }
     for (const int m : open_multigets) {
-      int& at = kept[static_cast<std::size_t>(multigets.at(m).op_type)];
-      if (at < 0) {
-        at = static_cast<int>(op_types.size());
+      int& new_index = kept[static_cast<std::size_t>(multigets.at(m).op_type)];
+      if (new_index < 0) {
+        new_index = static_cast<int>(op_types.size());
         op_types.push_back(before[static_cast<std::size_t>(multigets.at(m).op_type)]);
       }
-      multigets.at(m).op_type = at;
+      multigets.at(m).op_type = new_index;
       up_replicas_by_cell.resize(
           std::max(up_replicas_by_cell.size(), static_cast<std::size_t>(multigets.at(m).cells)));
       for (int p = multigets.at(m).first_part; p >= 0 && !hedging_allowed; p = parts.at(p).next_part) {
@@ -181,27 +194,28 @@
   void read_op_types() {
     op_types.clear();
     for (int i = 0;; ++i) {
-      const std::string at = "categories." + std::to_string(i) + ".";
-      const std::string place = "." + std::to_string(i);
-      if (!settings.has(at + "deadline")) break;
+      const std::string prefix = "categories." + std::to_string(i) + ".";
+      const std::string suffix = "." + std::to_string(i);
+      if (!settings.has(prefix + "deadline")) break;
       OpType op;
-      op.name = settings.text(at + "name", "");
-      const std::string effect = settings.text(at + "effect", "once");
+      op.name = settings.text(prefix + "name", "");
+      const std::string effect = settings.text(prefix + "effect", "once");
       if (effect != "repeatable" && effect != "by_key" && effect != "once")
-        SettingsReader::reject(at + "effect", "unknown");
+        SettingsReader::reject(prefix + "effect", "unknown");
       op.retry_class = effect == "repeatable" ? RetryClass::retriable
                        : effect == "by_key"   ? RetryClass::deduped
                                               : RetryClass::non_retriable;
-      op.route_timeout = settings.duration(at + "deadline", 0s);
-      if (op.route_timeout <= 0s) SettingsReader::reject(at + "deadline", "must be above 0");
-      op.latency_budget = std::min(settings.duration(at + "objective", op.route_timeout), op.route_timeout);
-      op.dedupe_window = settings.duration(at + "key-ttl", 0s);
-      op.importance = settings.at_least(at + "worth", 1, 0);
-      op.late_share = settings.share(at + "late-share", 0);
-      op.min_weight = settings.share("specifics.class-floor" + place, 1);
-      op.complete_weight = settings.share("specifics.complete-from" + place, 1);
-      op.partial_value = settings.share("specifics.short-worth" + place, 0);
-      op.second_step_parts = static_cast<int>(settings.at_least("specifics.second-step" + place, 0, 0));
+      op.route_timeout = settings.duration(prefix + "deadline", 0s);
+      if (op.route_timeout <= 0s) SettingsReader::reject(prefix + "deadline", "must be above 0");
+      op.latency_budget =
+          std::min(settings.duration(prefix + "objective", op.route_timeout), op.route_timeout);
+      op.dedupe_window = settings.duration(prefix + "key-ttl", 0s);
+      op.importance = settings.at_least(prefix + "worth", 1, 0);
+      op.late_share = settings.share(prefix + "late-share", 0);
+      op.min_weight = settings.share("specifics.class-floor" + suffix, 1);
+      op.complete_weight = settings.share("specifics.complete-from" + suffix, 1);
+      op.partial_value = settings.share("specifics.short-worth" + suffix, 0);
+      op.second_step_parts = static_cast<int>(settings.at_least("specifics.second-step" + suffix, 0, 0));
       op.typical_part_cost = std::max(2 * settings.at_least("specifics.overhead", 0, 0), 20'000.0);
       op_types.push_back(op);
     }
@@ -215,7 +229,7 @@
     return op_types[static_cast<std::size_t>(mg.op_type)];
   }
 
-  // ---- what is known ----
+  // ---- events ----
 
   void advance_clock(Duration t) {
     reply_cursor = 0;
@@ -234,31 +248,31 @@
     for (Replica& r : replicas) r.listed = !whole;
   }
 
-  void on_list_entry(const ListEntry& row) {
-    Replica* r = find_replica(row.server);
+  void on_list_entry(const ListEntry& entry) {
+    Replica* r = find_replica(entry.server);
     if (r == nullptr) {
       if (free_replica_slots.empty()) free_replica_slots.push_back(static_cast<int>(replicas.size()));
       if (free_replica_slots.back() == static_cast<int>(replicas.size())) replicas.emplace_back();
-      replica_by_server.emplace(row.server, free_replica_slots.back());
+      replica_by_server.emplace(entry.server, free_replica_slots.back());
       r = &(replica_at(free_replica_slots.back()) = Replica{});
       free_replica_slots.pop_back();
-      r->server = row.server;
-      r->hash = hash_string(row.server);
+      r->server = entry.server;
+      r->hash = hash_string(entry.server);
       r->decayed_at = now;
       reset_learned_state(*r);
-    } else if (row.started != r->started && row.started) {
-      reset_learned_state(*r);  // a new start: what was learned is about a process that is gone
+    } else if (entry.started != r->started && entry.started) {
+      reset_learned_state(*r);  // restarted: what was learned is about the old process
     }
-    r->zone = row.zone;
-    r->cell = std::max(row.cell, 0);
-    r->status = row.status;
-    r->started = row.started;
+    r->zone = entry.zone;
+    r->cell = std::max(entry.cell, 0);
+    r->status = entry.status;
+    r->started = entry.started;
     r->listed = true;
   }
 
   void on_list_complete() {
     for (Replica& r : replicas) {
-      if (!r.listed) r.status = ServerStatus::gone;  // absent from a whole list
+      if (!r.listed) r.status = ServerStatus::gone;  // it has no entry in a whole list
     }
     part_counts.resize(replicas.size() * static_cast<std::size_t>(shards), 0.0);
     release_departed_replicas();
@@ -281,8 +295,9 @@
     }
   }
 
-  // Where servers come under ever new ids, those gone would fill memory. A place is used again once no part
-  // in hand was sent there, no look is out, and what it was sent while cold cannot count if it comes back.
+  // Frees the slots of replicas that are gone; where servers come under ever new ids, they would fill the
+  // memory otherwise. A slot is reused once no open part was sent to its replica, no probe is in flight, and
+  // sends while it was cold would no longer count if it came back.
   void release_departed_replicas() {
     for (Replica& r : replicas)
       r.retained = r.status != ServerStatus::gone || r.probe_sent_at || now - r.decayed_at < warm_up_time;
@@ -298,88 +313,91 @@
     }
   }
 
-  void on_list_call_refused(Duration most_backoff) {
+  void on_list_call_refused(Duration max_backoff) {
     watching_list = false;
     list_call_sent_at.reset();
-    // Spread out, so that gatherers refused together do not come back together.
+    // Jitter keeps gatherers that were refused together from retrying together.
     const double wait = std::min(0.25 * std::pow(2.0, consecutive_refusals), 4.0);
     consecutive_refusals = std::min(consecutive_refusals + 1, 4);
     const double spread = std::uniform_real_distribution<double>(0.5, 1.5)(rng);
     next_list_call_at =
-        now + std::min(from_micros(1e6 * wait * spread), from_micros(to_micros(most_backoff) * spread / 1.5));
+        now + std::min(from_micros(1e6 * wait * spread), from_micros(to_micros(max_backoff) * spread / 1.5));
     log_message = "list call refused";
   }
 
-  void on_multiget_received(const MultigetRequest& ask) {
-    if (multigets.find(ask.id) >= 0) return;
-    const int place = multigets.insert(ask.id);
-    Multiget& mg = multigets.at(place);
-    mg.number = ask.number;
-    mg.op_type = std::clamp(ask.op_type, 0, current_op_types - 1);
+  void on_multiget_received(const MultigetRequest& request) {
+    if (multigets.find(request.id) >= 0) return;
+    const int slot = multigets.insert(request.id);
+    Multiget& mg = multigets.at(slot);
+    mg.number = request.number;
+    mg.op_type = std::clamp(request.op_type, 0, current_op_types - 1);
     mg.cells = cells;
     mg.width = width;
     mg.received_at = now;
-    mg.reply_deadline = ask.client_deadline - kReviewInterval - 2 * tick;
-    mg.parts_to_receive = ask.part_count;
-    mg.importance = op_type_of(mg).importance * importance_factor(ask.customer, ask.is_retry);
-    open_multigets.push_back(place);
+    mg.reply_deadline = request.client_deadline - kReviewInterval - 2 * tick;
+    mg.parts_to_receive = request.part_count;
+    mg.importance = op_type_of(mg).importance * importance_factor(request.customer, request.is_retry);
+    open_multigets.push_back(slot);
     received_requests.add(now);
   }
 
-  // What a customer sends beyond its share of this gatherer's traffic is worth little.
-  double importance_factor(int customer, bool repeated) {
+  // Returns the factor for the importance of a customer's next multiget: 1 within the customer's allowance at
+  // this gatherer, and the configured share beyond it.
+  double importance_factor(int customer, bool is_retry) {
     recent_multiget_count =
         recent_multiget_count * exponential_decay(now - multiget_counted_at, kPartCountDecay) +
-        (repeated ? 0 : 1);
+        (is_retry ? 0 : 1);
     multiget_counted_at = now;
     if (customer < 0 || customer >= static_cast<int>(customers.size())) return 1;
     Customer& c = customers[static_cast<std::size_t>(customer)];
     if (c.allowance_per_s <= 0) return 1;
-    // A gatherer that takes more than an even part of the traffic has as much more of each customer's share.
-    const double busier =
+    // A gatherer with more than an even share of the traffic gets as much more of each customer's allowance.
+    const double traffic_factor =
         std::max(recent_multiget_count / to_seconds(kPartCountDecay) / total_allowance_per_s, 1.0);
-    c.tokens = std::min(c.tokens + busier * c.allowance_per_s * to_seconds(now - c.refilled_at),
-                        std::max(3.0, 3 * busier * c.allowance_per_s));
+    c.tokens = std::min(c.tokens + traffic_factor * c.allowance_per_s * to_seconds(now - c.refilled_at),
+                        std::max(3.0, 3 * traffic_factor * c.allowance_per_s));
     c.refilled_at = now;
     if (c.tokens < 1) return settings.share("over-share-worth", 1);
     c.tokens -= 1;
     return 1;
   }
 
-  void on_part_received(const PartRequest& ask) {
+  void on_part_received(const PartRequest& request) {
     received_requests.add(now);
-    if (parts.find(ask.id) >= 0) return;
+    if (parts.find(request.id) >= 0) return;
     for (auto at = open_multigets.rbegin(); at != open_multigets.rend(); ++at) {
       Multiget& mg = multigets.at(*at);
-      if (mg.closed || mg.number != ask.multiget_number) continue;
+      if (mg.closed || mg.number != request.multiget_number) continue;
       const OpType& op = op_type_of(mg);
-      const int place = parts.insert(ask.id);
-      Part& part = parts.at(place);
+      const int slot = parts.insert(request.id);
+      Part& part = parts.at(slot);
       for (int j = 0; j < std::min(mg.width, mg.cells); ++j)
-        part_count_by_cell[static_cast<std::size_t>((ask.shard + j) % mg.cells)].add(now, kPartCountDecay);
+        part_count_by_cell[static_cast<std::size_t>((request.shard + j) % mg.cells)].add(now,
+                                                                                         kPartCountDecay);
       total_part_count.add(now, kPartCountDecay);
       part.multiget = *at;
       part.next_part = mg.first_part;
-      part.shard = ask.shard;
+      part.shard = request.shard;
       part.step = mg.step;
-      part.weight = ask.weight;
-      part.key = ask.key;
-      part.cost = ask.cost_hint > Duration::zero() ? to_micros(ask.cost_hint) : op.typical_part_cost;
+      part.weight = request.weight;
+      part.key = request.key;
+      part.cost = request.cost_hint > Duration::zero() ? to_micros(request.cost_hint) : op.typical_part_cost;
       part.arrival_order = next_arrival_order++;
-      mg.first_part = place;
+      mg.first_part = slot;
       mg.parts_to_receive = std::max(0, mg.parts_to_receive - 1);
-      if (mg.admitted) enqueue_part(place);
+      if (mg.admitted) enqueue_part(slot);
       return;
     }
   }
 
-  void enqueue_part(int place) {
-    if (parts.at(place).pending) return;
-    parts.at(place).pending = true;
-    pending_parts.push_back(place);
+  void enqueue_part(int slot) {
+    if (parts.at(slot).pending) return;
+    parts.at(slot).pending = true;
+    pending_parts.push_back(slot);
   }
 
-  // What a replica holds of all gatherers' work, from its report and from how long its answer took.
+  // Updates the load that other gatherers put on a replica, from its report and from how long the answer to a
+  // probe took.
   void update_reported_load(Replica& r, const LoadReport& report, Duration waited) {
     decay_to_now(r);
     double held = 0;
@@ -392,12 +410,13 @@
     r.load_reported_at = now;
   }
 
-  void on_probe_ended(std::string_view server, SendOutcome fate, Duration elapsed, const LoadReport& report) {
+  void on_probe_ended(std::string_view server, SendOutcome outcome, Duration elapsed,
+                      const LoadReport& report) {
     Replica* r = find_replica(server);
     if (r == nullptr) return;
     r->probe_sent_at.reset();
     last_probe_end = now;
-    if (fate == SendOutcome::returned) {
+    if (outcome == SendOutcome::returned) {
       mean_probe_micros += kAverageGain * (to_micros(elapsed) - mean_probe_micros);
       update_reported_load(*r, report, elapsed);
     } else {
@@ -412,20 +431,23 @@
     r.success_by_op_type.assign(op_types.size(), r.success);
   }
 
-  void record_result(SuccessEstimate& b, double good, double bad, Duration memory) {
-    const double keep = exponential_decay(now - b.updated_at, memory);
-    b.successes = std::min(kPriorSuccesses + (b.successes - kPriorSuccesses) * keep + good, kMaxSuccesses);
-    b.failures = std::min(b.failures * keep + bad, kMaxFailures);
+  void record_result(SuccessEstimate& b, double successes, double failures, Duration memory) {
+    const double decay = exponential_decay(now - b.updated_at, memory);
+    b.successes =
+        std::min(kPriorSuccesses + (b.successes - kPriorSuccesses) * decay + successes, kMaxSuccesses);
+    b.failures = std::min(b.failures * decay + failures, kMaxFailures);
     b.updated_at = now;
   }
 
-  // A replica that fails one op type only looks well as a whole, so each op type has a belief of its own
-  // beside the common one. It guards against silence, errors and push-backs that befall one kind of work; it
-  // does harm where op types are rare and a chance failure keeps a sound replica out for long.
-  void record_result(Replica& r, int op_type, double good, double bad) {
-    record_result(r.success, good, bad, kReplicaResultDecay);
-    if (bad >= 1) miss_rate += kMissRateGain / 10 * (1 - miss_rate);
-    record_result(r.success_by_op_type[static_cast<std::size_t>(op_type)], good, bad, kOpTypeResultDecay);
+  // Records results of one op type. A replica that fails only one op type looks healthy overall, so each op
+  // type has an estimate of its own beside the common one. That guards against lost answers, errors and
+  // push-backs that affect one kind of work. The drawback: where an op type is rare, a chance failure keeps a
+  // healthy replica out for long.
+  void record_result(Replica& r, int op_type, double successes, double failures) {
+    record_result(r.success, successes, failures, kReplicaResultDecay);
+    if (failures >= 1) miss_rate += kMissRateGain / 10 * (1 - miss_rate);
+    record_result(r.success_by_op_type[static_cast<std::size_t>(op_type)], successes, failures,
+                  kOpTypeResultDecay);
   }
 
   void decay_to_now(Replica& r) {
@@ -434,7 +456,8 @@
     r.recent_cost *= exponential_decay(age, kRecentCostDecay);
     r.others_load =
         fleet_others_load + (r.others_load - fleet_others_load) * exponential_decay(age, kReportedLoadDecay);
-    // A replica shunned for its pace brings no news of it; without this it would be shunned for good.
+    // A replica that is avoided as slow produces no new measurements; without the decay it would be avoided
+    // for good.
     r.slowdown =
         fleet_slowdown * std::pow(r.slowdown / fleet_slowdown, exponential_decay(age, kSlowdownDecay));
     r.decayed_at = now;
@@ -446,11 +469,11 @@
     fleet_slowdown *= std::pow(std::clamp(ratio / fleet_slowdown, 0.1, 10.0), kSlowdownGain / 10);
   }
 
-  void on_send_ended(const RequestId& id, int send, SendOutcome fate, Duration elapsed,
+  void on_send_ended(const RequestId& id, int send, SendOutcome outcome, Duration elapsed,
                      const LoadReport& report) {
-    const int place = parts.find(id);
-    if (place < 0) return;
-    Part& part = parts.at(place);
+    const int slot = parts.find(id);
+    if (slot < 0) return;
+    Part& part = parts.at(slot);
     if (send < 0 || send >= part.send_count) return;
     SendRecord& s = part.send(send);
     if (!s.in_flight) return;
@@ -460,11 +483,12 @@
     Replica& r = replica_at(s.replica);
     decay_to_now(r);
     r.in_flight_cost = std::max(0.0, r.in_flight_cost - s.in_flight_cost);
-    if (fate == SendOutcome::pushed_back || fate == SendOutcome::dial_failed || fate == SendOutcome::unused)
+    if (outcome == SendOutcome::pushed_back || outcome == SendOutcome::dial_failed ||
+        outcome == SendOutcome::unused)
       s.may_have_run = false;
     if (report.count > 0) update_reported_load(r, report, 0s);
     const double ratio = to_micros(elapsed) / std::max(s.unscaled_micros, 1.0);
-    switch (fate) {
+    switch (outcome) {
       case SendOutcome::returned:
         record_result(r, mg.op_type, 1, 0);
         update_slowdown(r, ratio);
@@ -488,20 +512,20 @@
         break;
       case SendOutcome::revoked:
         if (s.counted_overdue) record_result(r, mg.op_type, 0, 0.5);
-        if (ratio > r.slowdown) update_slowdown(r, ratio);  // it would have taken longer still
+        if (ratio > r.slowdown) update_slowdown(r, ratio);  // it would have taken even longer
         break;
       case SendOutcome::unused:
         break;
     }
     if (!mg.closed && !part.returned) {
-      if (fate == SendOutcome::returned) {
+      if (outcome == SendOutcome::returned) {
         part.returned = true;
         mg.returned_part_count += 1;
         if (part.step == mg.step) mg.returned_weight += part.weight;
-        cancel_sends(place);
+        cancel_sends(slot);
       } else if (part.sends_in_flight() == 0) {
         if (can_resend(part, mg)) {
-          enqueue_part(place);
+          enqueue_part(slot);
         } else {
           mg.lost_weight += part.weight;
         }
@@ -510,7 +534,9 @@
     queue_release_if_done(part.multiget);
   }
 
-  // Where no hints come, a part's cost is the lower quartile of what an otherwise idle replica took for it.
+  // Without cost hints, a part's cost is the lower quartile of the times that otherwise idle replicas took:
+  // the estimate moves down by 5% or up by 1.67%, so that it settles where a quarter of the times are below
+  // it.
   void update_typical_cost(OpType& op, const SendRecord& s, const Part& part, Duration elapsed) {
     if (!s.replica_was_idle || part.step > 1) return;
     const double work = std::max(to_micros(elapsed) - call_overhead, 1000.0);
@@ -518,16 +544,16 @@
   }
 
   void on_client_left(const RequestId& id) {
-    const int place = multigets.find(id);
-    if (place >= 0 && !multigets.at(place).closed) close_multiget(place, false);
+    const int slot = multigets.find(id);
+    if (slot >= 0 && !multigets.at(slot).closed) close_multiget(slot, false);
   }
 
-  // ---- ends ----
+  // ---- replies ----
 
-  void cancel_sends(int place, int before = static_cast<int>(kMaxSendsPerPart)) {
+  void cancel_sends(int slot, int end = static_cast<int>(kMaxSendsPerPart)) {
     if (!cancellation_allowed) return;
-    Part& part = parts.at(place);
-    for (int i = 0; i < std::min(part.send_count, before); ++i) {
+    Part& part = parts.at(slot);
+    for (int i = 0; i < std::min(part.send_count, end); ++i) {
       SendRecord& s = part.send(i);
       if (s.in_flight && !s.cancelled) {
         s.cancelled = true;
@@ -536,8 +562,8 @@
     }
   }
 
-  void close_multiget(int place, bool answered) {
-    Multiget& mg = multigets.at(place);
+  void close_multiget(int slot, bool answered) {
+    Multiget& mg = multigets.at(slot);
     const bool in_time = answered && now <= mg.received_at + op_type_of(mg).latency_budget;
     miss_rate += kMissRateGain * ((in_time ? 0 : 1) - miss_rate);
     mg.closed = true;
@@ -547,7 +573,7 @@
       stretch = std::clamp(stretch * std::pow(std::clamp(ratio / stretch, 0.2, 5.0), kAverageGain), 0.2, 5.0);
     }
     abandon_parts(mg);
-    queue_release_if_done(place);
+    queue_release_if_done(slot);
   }
 
   void abandon_parts(const Multiget& mg) {
@@ -557,32 +583,33 @@
     }
   }
 
-  // A place is given back once nothing of it is out, and not while verdicts are being looked for.
-  void queue_release_if_done(int place) {
-    if (multigets.at(place).closed && multigets.at(place).sends_in_flight == 0)
-      releasable_multigets.push_back(place);
+  // Queues the slot of a closed multiget for release once none of its sends is in flight. The slots are freed
+  // later, as next_reply() must not see the list change while it walks it.
+  void queue_release_if_done(int slot) {
+    if (multigets.at(slot).closed && multigets.at(slot).sends_in_flight == 0)
+      releasable_multigets.push_back(slot);
   }
 
   void release_closed_multigets() {
-    for (const int place : releasable_multigets) {
-      Multiget& mg = multigets.at(place);
+    for (const int slot : releasable_multigets) {
+      Multiget& mg = multigets.at(slot);
       for (int p = mg.first_part; p >= 0;) {
         const int next = parts.at(p).next_part;
         parts.erase(p);
         p = next;
       }
-      open_multigets.erase(std::find(open_multigets.begin(), open_multigets.end(), place));
-      multigets.erase(place);
+      open_multigets.erase(std::find(open_multigets.begin(), open_multigets.end(), slot));
+      multigets.erase(slot);
     }
     releasable_multigets.clear();
   }
 
-  // Rules 1, 2 and 5: every final answer passes here, once.
-  ReplyDecision decide_reply(int place, MultigetOutcome ending, bool whole, Duration come_back) {
-    Multiget& mg = multigets.at(place);
+  // Decides the reply to a multiget; every reply passes here, once for each step. Enforces rules 1, 2 and 5.
+  ReplyDecision decide_reply(int slot, MultigetOutcome outcome, bool whole, Duration retry_after) {
+    Multiget& mg = multigets.at(slot);
     const OpType& op = op_type_of(mg);
-    if (ending != MultigetOutcome::answer) {
-      // A push-back promises that trying again is harmless.
+    if (outcome != MultigetOutcome::answer) {
+      // A push-back promises the client that a retry is harmless.
       bool harmless = true;
       if (op.retry_class == RetryClass::non_retriable) {
         for (int p = mg.first_part; p >= 0; p = parts.at(p).next_part) {
@@ -590,14 +617,14 @@
           for (int i = 0; i < part.send_count; ++i) harmless &= !part.send(i).may_have_run;
         }
       }
-      ending = harmless ? MultigetOutcome::push_back : MultigetOutcome::fail;
+      outcome = harmless ? MultigetOutcome::push_back : MultigetOutcome::fail;
       whole = false;
-      if (!settings.flag("limits.retry-after", false) || !harmless) come_back = Duration::zero();
-      come_back = std::min(come_back, settings.duration("limits.max-retry-after", 0s));
+      if (!settings.flag("limits.retry-after", false) || !harmless) retry_after = Duration::zero();
+      retry_after = std::min(retry_after, settings.duration("limits.max-retry-after", 0s));
     }
     const bool second_step_follows =
-        ending == MultigetOutcome::answer && mg.step == 1 && op.second_step_parts > 0;
-    ReplyDecision verdict{mg.id, ending, whole, come_back};
+        outcome == MultigetOutcome::answer && mg.step == 1 && op.second_step_parts > 0;
+    ReplyDecision decision{mg.id, outcome, whole, retry_after};
     if (second_step_follows) {
       mg.first_step_complete = whole;
       mg.step = 2;
@@ -605,45 +632,47 @@
       mg.parts_to_receive = std::min(op.second_step_parts, mg.returned_part_count);
       abandon_parts(mg);
     } else {
-      close_multiget(place, ending == MultigetOutcome::answer);
+      close_multiget(slot, outcome == MultigetOutcome::answer);
     }
-    return verdict;
+    return decision;
   }
 
   std::optional<ReplyDecision> next_reply() {
     while (reply_cursor < open_multigets.size()) {
-      const int place = open_multigets[reply_cursor++];
-      Multiget& mg = multigets.at(place);
+      const int slot = open_multigets[reply_cursor++];
+      Multiget& mg = multigets.at(slot);
       if (mg.closed) continue;
       const OpType& op = op_type_of(mg);
       const double need = mg.step == 1 ? op.complete_weight : 1.0;
       if (mg.parts_to_receive == 0 && mg.returned_weight >= need - kWeightTolerance) {
-        return decide_reply(place, MultigetOutcome::answer, mg.step == 1 || mg.first_step_complete,
+        return decide_reply(slot, MultigetOutcome::answer, mg.step == 1 || mg.first_step_complete,
                             Duration::zero());
       }
       const bool late = now >= mg.received_at + op.latency_budget;
       const bool closing = now >= mg.received_at + op.latency_budget - kReviewInterval - 2 * tick;
-      const bool floor_in = op.min_weight < op.complete_weight && mg.parts_to_receive == 0 &&
-                            mg.returned_weight >= op.min_weight - kWeightTolerance;
-      // What can no longer come ends the multiget at once, unless the rest may still make an answer.
-      const double possible = 1 - mg.lost_weight + kWeightTolerance;
-      const bool hopeless = possible < std::min(need, op.min_weight) ||
-                            (possible < need && floor_in && mg.sends_in_flight == 0);
-      if (now >= mg.reply_deadline || hopeless || (closing && op.partial_value > 0 && floor_in)) {
-        return decide_reply(place, floor_in ? MultigetOutcome::answer : MultigetOutcome::push_back, false,
-                            Duration::zero());
+      const bool has_min_weight = op.min_weight < op.complete_weight && mg.parts_to_receive == 0 &&
+                                  mg.returned_weight >= op.min_weight - kWeightTolerance;
+      // Lost weight that makes an answer impossible ends the multiget at once, unless the remaining parts may
+      // still make an incomplete answer.
+      const double possible_weight = 1 - mg.lost_weight + kWeightTolerance;
+      const bool cannot_answer = possible_weight < std::min(need, op.min_weight) ||
+                                 (possible_weight < need && has_min_weight && mg.sends_in_flight == 0);
+      if (now >= mg.reply_deadline || cannot_answer || (closing && op.partial_value > 0 && has_min_weight)) {
+        return decide_reply(slot, has_min_weight ? MultigetOutcome::answer : MultigetOutcome::push_back,
+                            false, Duration::zero());
       }
       if (late && (op.late_share <= 0 || fleet_slowdown > 3))
-        return decide_reply(place, MultigetOutcome::push_back, false, 0s);
+        return decide_reply(slot, MultigetOutcome::push_back, false, 0s);
       if (!mg.admitted && mg.parts_to_receive == 0) {
         if (is_waiting_for_probes(mg)) continue;
         mg.expected_micros = expected_completion(mg);
-        // Lost sends stretch multigets as a jam does, but pushing back helps against a jam only.
-        const double need_us = mg.expected_micros * (congestion() > 0 ? op.duration_ratio : 1);
-        if (need_us > admission_limit(mg, op)) {
-          log_message = "pushing back: more is asked for than can be finished in time";
-          const double wait = std::isfinite(need_us) ? std::max(need_us / 2, 100'000.0) : 500'000.0;
-          return decide_reply(place, MultigetOutcome::push_back, false, from_micros(std::min(wait, 1e9)));
+        // Lost sends lengthen multigets as congestion does, but pushing back helps against congestion only.
+        const double needed_micros = mg.expected_micros * (congestion() > 0 ? op.duration_ratio : 1);
+        if (needed_micros > admission_limit(mg, op)) {
+          log_message = "pushing back a multiget: it cannot be finished within its latency budget";
+          const double wait =
+              std::isfinite(needed_micros) ? std::max(needed_micros / 2, 100'000.0) : 500'000.0;
+          return decide_reply(slot, MultigetOutcome::push_back, false, from_micros(std::min(wait, 1e9)));
         }
         mg.admitted = true;
         for (int p = mg.first_part; p >= 0; p = parts.at(p).next_part) enqueue_part(p);
@@ -653,29 +682,30 @@
     return std::nullopt;
   }
 
-  // ---- looks ----
+  // ---- probes ----
 
-  // At full size a gatherer rarely meets a server twice within seconds, so its own sends tell little of what
-  // it will find. Before a multiget is placed, the replicas it may use are asked, where what it would miss
-  // otherwise outweighs the price.
+  // Returns whether a multiget still waits for answers to probes, and decides the probes on its first call.
+  // In a large fleet a gatherer rarely sends to the same server twice within seconds, so its own sends tell
+  // little about a server's load. The replicas that the multiget may use are probed before its parts are
+  // placed, if the expected gain outweighs the price of the probes.
   bool is_waiting_for_probes(Multiget& mg) {
     if (!probing_allowed) return false;
     if (!mg.probed_at) {
       mg.probed_at = now;
-      double worth = 0;
+      double probe_budget = 0;
       for (int p = mg.first_part; p >= 0; p = parts.at(p).next_part)
-        worth += miss_rate / (hedging_allowed ? 4 : 2) / probe_price;
+        probe_budget += miss_rate / (hedging_allowed ? 4 : 2) / probe_price;
       for (int k = 0; k < max_sends_per_part; ++k) {
-        for (int p = mg.first_part; p >= 0 && worth >= 1; p = parts.at(p).next_part) {
+        for (int p = mg.first_part; p >= 0 && probe_budget >= 1; p = parts.at(p).next_part) {
           collect_candidates(parts.at(p));
           if (k >= static_cast<int>(candidates.size())) continue;
-          const std::size_t turn =
+          const std::size_t index =
               (parts.at(p).arrival_order + static_cast<std::size_t>(k)) % candidates.size();
-          Replica& r = replica_at(candidates[turn].replica);
+          Replica& r = replica_at(candidates[index].replica);
           if (r.probe_sent_at || now - r.load_reported_at < kMaxReportAge) continue;
           r.probe_sent_at = now;
-          pending_probes.push_back(candidates[turn].replica);
-          worth -= 1;
+          pending_probes.push_back(candidates[index].replica);
+          probe_budget -= 1;
         }
       }
     }
@@ -698,7 +728,7 @@
 
   // ---- admission ----
 
-  // Until as much weight is in as an answer may be given from.
+  // Returns the expected time in microseconds until the returned weight suffices for an answer.
   double expected_completion(const Multiget& mg) {
     const OpType& op = op_type_of(mg);
     part_estimates.clear();
@@ -707,8 +737,9 @@
       collect_candidates(parts.at(p));
       for (const Candidate& c : candidates) {
         Replica& r = replica_at(c.replica);
-        // Without warmth: a cold replica's pace already holds its coldness, and counted twice it makes a
-        // deploy look like a jam. Harm: the first multigets after a start may be admitted too easily.
+        // The warmth factor is taken out again: a cold replica's measured slowdown already contains it, and
+        // counting it twice makes a deploy look like congestion. The drawback: the first multigets after a
+        // start may be admitted too easily.
         best = std::min(best, estimated_send_micros(r, parts.at(p).cost + call_overhead) * warmth(r));
       }
       part_estimates.emplace_back(best, parts.at(p).weight);
@@ -722,16 +753,16 @@
     return part_estimates.empty() ? 0 : part_estimates.back().first;
   }
 
-  // From 0 while the fleet answers about as quickly as it has, to 1 when it is jammed. Pace is seen by
-  // answers, so pushing back does not keep it high, as a share of push-backs would.
-  // Answers held up by links, or by a gatherer's own stalls, are late as in a jam; where looks go out, what
-  // servers report to hold tells them apart: half the wait counts only as far as much is held.
+  // Returns how congested the fleet is, from 0 (answers take about as long as their own work) to 1. It is
+  // measured by answers, so pushing back does not keep it high, as a fraction of push-backs would.
+  // Answers delayed by the network or by a stalled gatherer are as late as under congestion. Where probes are
+  // sent, the load that servers report tells the two apart: half of the wait counts only in proportion to it.
   double congestion() const {
-    const double told =
+    const double load_weight =
         miss_rate > 0.05 && last_probe_end > now - 5s ? std::clamp(fleet_parts_held - 0.5, 0.0, 1.0) : 1;
-    return std::clamp(
-        (fleet_wait_ratio * (0.5 + 0.5 * told) - kCalmWaitRatio) / (kCongestedWaitRatio - kCalmWaitRatio),
-        0.0, 1.0);
+    return std::clamp((fleet_wait_ratio * (0.5 + 0.5 * load_weight) - kCalmWaitRatio) /
+                          (kCongestedWaitRatio - kCalmWaitRatio),
+                      0.0, 1.0);
   }
 
   double admission_limit(const Multiget& mg, const OpType& op) {
@@ -740,7 +771,7 @@
     const double density = mg.importance / (value_by_work ? 1 : cost);
     mean_value_density =
         mean_value_density > 0 ? mean_value_density + 0.02 * (density - mean_value_density) : density;
-    // What is worth something when late as well may be tried at worse odds.
+    // A multiget that keeps value when it is late may be admitted at worse odds.
     const double odds =
         (kCalmBudgetFill + (kCongestedBudgetFill - kCalmBudgetFill) * congestion()) * (1 + 2 * op.late_share);
     const double fill =
@@ -759,20 +790,22 @@
 
   double expected_slowdown(const Replica& r) const { return r.slowdown * r.overdue_factor / warmth(r); }
 
-  // Others' work there; a replica that has not answered yet is expected to take several times as long still.
+  // Returns the load expected from other gatherers. A replica that has not answered a probe yet is expected
+  // to need several times the time that has passed since.
   double expected_others_load(const Replica& r) const {
     return r.probe_sent_at ? std::max(r.others_load, kReplicaParallelism * kUnansweredProbeFactor *
                                                          to_micros(now - *r.probe_sent_at))
                            : r.others_load;
   }
 
-  // How long a send of this cost is expected to take.
+  // Returns the expected duration, in microseconds, of a send of this cost.
   double estimated_send_micros(const Replica& r, double cost) const {
     return expected_slowdown(r) *
            (cost + (r.in_flight_cost + r.assigned_cost + expected_others_load(r)) / kReplicaParallelism);
   }
 
-  // A call's own cost is load, and it is taken from all that the fleet can do, not from this replica alone.
+  // Returns the load by which replicas are compared. The overhead of a new call counts as load at a multiple,
+  // because it takes capacity from the whole fleet rather than from this replica alone.
   double placement_load(Replica& r) {
     decay_to_now(r);
     const double opening = r.parts_in_open_call == 0 ? kNewCallLoadFactor * call_overhead : 0;
@@ -780,7 +813,8 @@
            (r.assigned_cost + r.in_flight_cost + r.recent_cost + expected_others_load(r) + opening);
   }
 
-  // The replicas that hold a part's shard and are up, in hash order.
+  // Collects the replicas that hold a part's shard and are up into `candidates`, in the order of the
+  // rendezvous hash.
   void collect_candidates(const Part& part) {
     candidates.clear();
     const std::uint64_t shard =
@@ -802,14 +836,15 @@
     for (int i = 0; i < part.send_count; ++i) {
       const SendRecord& s = part.send(i);
       if (!s.may_have_run) continue;
-      // A send may wait so long for its connection, and has to leave inside the window all the same.
+      // A send may wait up to the connect timeout for its connection, and still has to leave within the
+      // dedupe window.
       if (op.retry_class == RetryClass::non_retriable || now > s.sent_at + op.dedupe_window - connect_timeout)
         return false;
     }
     return true;
   }
 
-  // Rules 1, 2 and 6: every send passes here, whichever server it goes to.
+  // Returns whether a part may be sent at all. Every send passes here; enforces rules 1, 2 and 6.
   bool can_send(const Part& part) const {
     const Multiget& mg = multigets.at(part.multiget);
     if (mg.closed || part.returned || part.step != mg.step || now >= mg.reply_deadline) return false;
@@ -819,33 +854,37 @@
     return part.send_count == 0 || has_resend_budget(out > 0);
   }
 
-  // Rules 3 and 4: and then here, by server.
+  // Returns whether a replica may be sent this part. Every send passes here; enforces rules 3 and 4.
   bool can_accept(const Part& part, Replica& r) {
     return r.status == ServerStatus::up &&
            has_cold_capacity(r, part.cost + (r.parts_in_open_call == 0 ? call_overhead : 0));
   }
 
-  // The stated budget for further sends, or the module's own for second copies where none is stated; counted
-  // to the safe side. A try after a failure adds no work beside the first's, so it needs no budget of ours:
-  // with many parts a multiget and few multigets a gatherer, that kept failed parts waiting until the end.
-  bool has_resend_budget(bool copy) const {
-    if (!resend_budget_stated && !copy) return true;
-    const SlidingWindowCounter& made = resend_budget_stated ? resends : hedges;
-    return made.upper_bound(now) + 1 <=
+  // Returns whether the budget allows one more resend: the operators' budget for all resends, or a default
+  // budget for hedges only. Resends are counted too high rather than too low, and requests the other way. A
+  // retry after a failure adds no load beside the first send's, so no default budget limits it; one did, and
+  // with many parts per multiget and few multigets per gatherer it kept failed parts waiting until the end.
+  bool has_resend_budget(bool is_hedge) const {
+    if (!resend_budget_stated && !is_hedge) return true;
+    const SlidingWindowCounter& counter = resend_budget_stated ? resends : hedges;
+    return counter.upper_bound(now) + 1 <=
            resend_floor + resends_per_request * received_requests.lower_bound(now);
   }
 
-  // A cold replica falls over when all gatherers together send it more than a multiple of what it can do.
-  // Each keeps to its fair share of that: what it sends an ordinary replica, times warmth and multiple.
+  // Returns whether a cold replica may be sent work of this cost. It fails when all gatherers together send
+  // it more than a multiple of its capacity within a window. Each gatherer keeps to its fair share of that:
+  // what it sends a warm replica, times the cold replica's warmth and the multiple.
   bool has_cold_capacity(Replica& r, double cost) {
     const double warm = warmth(r);
     if (warm >= 1) return true;
-    const auto& [oldest, its_work] = r.recent_cold_sends[r.next_cold_send % r.recent_cold_sends.size()];
-    if (its_work > 0 && now - oldest <= overload_window) return false;  // more than can be kept count of
+    const auto& [oldest, oldest_work] = r.recent_cold_sends[r.next_cold_send % r.recent_cold_sends.size()];
+    if (oldest_work > 0 && now - oldest <= overload_window)
+      return false;  // more sends than the ring can count
     double sent = 0;
     for (const auto& [at, work] : r.recent_cold_sends)
       sent += work > 0 && now - at <= overload_window ? work : 0;
-    // What others of its size carry for this gatherer, or its share of the one core that every replica has.
+    // What a warm replica carries for this gatherer, but at least this gatherer's share of one core, which
+    // every replica has.
     const double flow = warm_cost_flow * exponential_decay(now - warm_cost_flow_at, kWarmFlowDecay) /
                         to_seconds(kWarmFlowDecay);
     if (warm_replicas_counted_at != now) {
@@ -855,26 +894,30 @@
             return o.status == ServerStatus::up && warmth(o) >= 1;
           }));
     }
-    const double carried = std::max(flow / std::max(warm_replica_count, 1.0), 1e6 / gatherer_count);
-    const double room = overload_multiple * warm * carried * to_seconds(overload_window);
+    const double work_per_replica = std::max(flow / std::max(warm_replica_count, 1.0), 1e6 / gatherer_count);
+    const double room = overload_multiple * warm * work_per_replica * to_seconds(overload_window);
     if (sent > 0 || cost <= room) return sent + cost <= room;
     return accrued_cold_credit(r, cost, room) >= cost;
   }
 
-  // A share below one send a window is saved until it holds one. As few use theirs, twice the share is saved,
-  // and a start has what some windows save; down to the share where other parts are mostly for that cell.
+  // Returns the credit of a cold replica, in microseconds of work, after it has accrued until now. A share of
+  // less than one send per window is saved until it covers one. Since few gatherers use their share, credit
+  // accrues at twice the share, and a replica that has just started begins with the credit of some windows.
+  // Both shrink towards the plain share as more of the recent parts are for the replica's cell.
   double accrued_cold_credit(Replica& r, double cost, double room) {
-    const double here = part_count_by_cell[static_cast<std::size_t>(r.cell)].recent(now, kPartCountDecay) - 1;
-    const double even = total_part_count.recent(now, kPartCountDecay) * width / cells;
-    const double few = kColdShareOverbooking * even / std::max({here, even, 1e-9});
+    const double cell_parts =
+        part_count_by_cell[static_cast<std::size_t>(r.cell)].recent(now, kPartCountDecay) - 1;
+    const double even_share = total_part_count.recent(now, kPartCountDecay) * width / cells;
+    const double overbooking = kColdShareOverbooking * even_share / std::max({cell_parts, even_share, 1e-9});
     if (r.cold_credit.server_start != r.started)
-      r.cold_credit = {cost * std::uniform_real_distribution<>()(rng) + room * std::max(few - 1, 0.0), now,
-                       r.started};
-    return r.cold_credit.accrue(now, room * std::max(few / 2, 1.0), overload_window,
+      r.cold_credit = {cost * std::uniform_real_distribution<>()(rng) + room * std::max(overbooking - 1, 0.0),
+                       now, r.started};
+    return r.cold_credit.accrue(now, room * std::max(overbooking / 2, 1.0), overload_window,
                                 kMaxSavedColdSends * cost);
   }
 
-  // Whether a doubtful replica gets work in this turn is drawn from the posterior of its chance of success.
+  // Samples the probability that a replica succeeds, once in each turn, from its posterior (Thompson
+  // sampling): a replica with failures gets work in some turns only.
   double sample_success(Replica& r, int op_type) {
     return std::min(
         sample_success(r.success, kReplicaResultDecay),
@@ -894,13 +937,13 @@
     return b.sample;
   }
 
-  // The design's choice among a part's replicas; -1 where none may be sent to.
+  // Returns the replica that a part goes to, or -1 if the part may not be sent now.
   int choose_replica_if_allowed(const Part& part) { return can_send(part) ? choose_replica(part) : -1; }
 
   int choose_replica(const Part& part) {
     collect_candidates(part);
     const Multiget& mg = multigets.at(part.multiget);
-    const double trust = op_type_of(mg).retry_class == RetryClass::retriable ? 0.4 : 0.9;
+    const double min_success = op_type_of(mg).retry_class == RetryClass::retriable ? 0.4 : 0.9;
     std::erase_if(candidates, [&](const Candidate& c) { return !can_accept(part, replica_at(c.replica)); });
     if (candidates.empty()) return -1;
     const auto tried = [&](const Candidate& c) {
@@ -921,7 +964,8 @@
       c.success_sample = sample_success(replica_at(c.replica), mg.op_type);
       best = std::max(best, c.success_sample);
     }
-    std::erase_if(candidates, [&](const Candidate& c) { return c.success_sample < std::min(trust, best); });
+    std::erase_if(candidates,
+                  [&](const Candidate& c) { return c.success_sample < std::min(min_success, best); });
     double least = std::numeric_limits<double>::infinity();
     int least_loaded = -1;
     double total = 0;
@@ -949,26 +993,27 @@
                        static_cast<std::size_t>(shard % shards)];
   }
 
-  void add_send(int place, int to) {
-    Part& part = parts.at(place);
+  void add_send(int slot, int to) {
+    Part& part = parts.at(slot);
     Multiget& mg = multigets.at(part.multiget);
     Replica& r = replica_at(to);
-    const bool opens = r.parts_in_open_call == 0;
+    const bool opens_call = r.parts_in_open_call == 0;
     touched_replicas.push_back(to);
     r.parts_in_open_call = (r.parts_in_open_call + 1) % max_parts_per_call;
-    const double cost = part.cost + (opens ? call_overhead : 0);
+    const double cost = part.cost + (opens_call ? call_overhead : 0);
     SendRecord& s = part.sends[static_cast<std::size_t>(part.send_count++)];
     s = SendRecord{};
     s.replica = to;
     s.sent_at = now;
     s.in_flight_cost = cost;
-    s.replica_was_idle = r.in_flight_cost + r.assigned_cost <= (opens ? 0 : call_overhead) + 0.05 * cost;
+    s.replica_was_idle = r.in_flight_cost + r.assigned_cost <= (opens_call ? 0 : call_overhead) + 0.05 * cost;
     s.unscaled_micros =
         part.cost + call_overhead +
-        (r.in_flight_cost + r.assigned_cost + expected_others_load(r) - (opens ? 0 : call_overhead)) /
+        (r.in_flight_cost + r.assigned_cost + expected_others_load(r) - (opens_call ? 0 : call_overhead)) /
             kReplicaParallelism;
     mean_send_cost += 0.02 * (cost - mean_send_cost);
-    // Measured by the fleet, so that a replica known as slow does not get more time for it.
+    // Bounded by the fleet's slowdown, so that a replica known as slow does not get more time before it is
+    // overdue.
     s.expected_micros = std::min(expected_slowdown(r), fleet_slowdown / warmth(r)) * s.unscaled_micros;
     s.in_flight = true;
     if (part.send_count > 1) resends.add(now);
@@ -978,15 +1023,17 @@
     r.cold_credit.work -= cost;
     mg.sends_in_flight += 1;
     recent_part_count(part.shard, to) += part_count_unit;
-    // Nor is it begun behind another's frame when the window of an earlier one that may have run is over.
-    Duration begun_by = mg.reply_deadline;
+    // The send must not be written after the dedupe window of an earlier send that may have run, even if it
+    // waits behind another frame.
+    Duration latest_start = mg.reply_deadline;
     for (int i = 0; i + 1 < part.send_count && op_type_of(mg).retry_class == RetryClass::deduped; ++i)
       if (part.send(i).may_have_run)
-        begun_by = std::min(begun_by, part.send(i).sent_at + op_type_of(mg).dedupe_window);
-    planned_sends.push_back({part.id, r.server, mg.reply_deadline, begun_by});
+        latest_start = std::min(latest_start, part.send(i).sent_at + op_type_of(mg).dedupe_window);
+    planned_sends.push_back({part.id, r.server, mg.reply_deadline, latest_start});
   }
 
-  // Looks over what is out: replicas that keep silent, and parts that want a second copy.
+  // Updates how overdue each replica is, from the sends in flight, and counts overdue sends as half a
+  // failure.
   void update_overdue_sends() {
     for (const int i : touched_replicas) {
       replica_at(i).overdue_factor = 1;
@@ -1014,7 +1061,8 @@
     }
   }
 
-  // Whether a replica that is overdue does not answer a look either; a replica that only has much to do does.
+  // Returns whether an overdue replica fails to answer a probe as well, and probes it if necessary. A replica
+  // that is only busy answers.
   bool is_unresponsive(int replica) {
     Replica& r = replica_at(replica);
     if (probing_allowed && !r.probe_sent_at && now - r.load_reported_at >= kMaxReportAge) {
@@ -1041,7 +1089,8 @@
             !can_resend(part, mg))
           continue;
         if (part.sends_in_flight() > 1) {
-          cancel_sends(p, part.send_count - 1);  // both are overdue: the older one makes room for a third
+          cancel_sends(p,
+                       part.send_count - 1);  // both are overdue: the older one is cancelled to allow a third
           continue;
         }
         if (!hedging_allowed && last.cancelled) continue;
@@ -1050,7 +1099,7 @@
           continue;
         const int to = hedging_allowed ? choose_replica_if_allowed(part) : choose_replica(part);
         if (to < 0 || estimated_send_micros(replica_at(to), part.cost + call_overhead) > 2 * waited) continue;
-        // Where no two may be out at once, the overdue send is withdrawn, and its end sends the part again.
+        // Where hedging is not allowed, the overdue send is cancelled, and its end leads to a resend.
         if (hedging_allowed)
           add_send(p, to);
         else
@@ -1081,7 +1130,7 @@
     }
     pending_parts.resize(kept);
     hedge_or_move_overdue_parts();
-    // Newer parts count more instead of older ones less; only their ratios are used.
+    // Newer parts are counted with a growing unit instead of decaying the older counts; only ratios are used.
     part_count_unit /= exponential_decay(now - part_count_unit_at, kPartCountDecay);
     part_count_unit_at = now;
     if (part_count_unit > 1e100) {
@@ -1139,7 +1188,7 @@
   std::vector<Customer> customers;
   double call_overhead = 0;
   int current_op_types =
-      1;  // op types that new multigets may have; behind them, those that some in hand still have
+      1;  // op types of the current settings; behind them come those that open multigets still have
   int max_parts_per_call = 1, cells = 1, width = 1, shards = 1, max_sends_per_part = 1, zone = 0;
   double gatherer_count = 1;
   Duration tick{}, connect_timeout{}, warm_up_time{}, overload_window{},
@@ -1148,26 +1197,26 @@
          resends_per_request = 0;
   bool hedging_allowed = false, cancellation_allowed = false, resend_budget_stated = false,
        value_by_work = false;
-  double cross_zone_weight = 0;            // load that crossing zones adds, by the part's cost
-  SlidingWindowCounter received_requests;  // multigets and parts
-  SlidingWindowCounter resends;            // sends beyond each part's first
-  SlidingWindowCounter hedges;             // and those while another was out
+  double cross_zone_weight = 0;            // load added for another zone, as a multiple of the part's cost
+  SlidingWindowCounter received_requests;  // multigets and parts received
+  SlidingWindowCounter resends;            // sends beyond the first of each part
+  SlidingWindowCounter hedges;             // resends while another send of the part was in flight
   SlotMap<Multiget> multigets;
   SlotMap<Part> parts;
-  std::vector<int> open_multigets;  // multigets in the order of their arrival
+  std::vector<int> open_multigets;  // slots in the order of arrival
   std::vector<int> releasable_multigets, pending_parts, pending_probes;
-  std::vector<int> touched_replicas;  // replicas whose state of this turn is to be cleared
+  std::vector<int> touched_replicas;  // replicas whose per-turn state has to be cleared
   std::vector<Send> planned_sends;
   std::vector<SendCancellation> cancellations;
   std::vector<Candidate> candidates;
-  std::vector<std::pair<double, double>> part_estimates;  // of a multiget's parts, and their weights
+  std::vector<std::pair<double, double>> part_estimates;  // expected micros and weight of a multiget's parts
   std::vector<Replica> replicas;
-  std::vector<int> free_replica_slots;  // places of replicas that are forgotten
+  std::vector<int> free_replica_slots;  // slots for new replicas
   std::map<std::string, int, std::less<>> replica_by_server;
   std::vector<std::vector<int>> up_replicas_by_cell;
   DecayingCount total_part_count;
-  std::vector<DecayingCount> part_count_by_cell;  // parts by cell, faded as a shard's are
-  std::vector<double> part_counts;                // recent parts by shard and replica
+  std::vector<DecayingCount> part_count_by_cell;  // recent parts by cell
+  std::vector<double> part_counts;                // recent parts by replica and shard, in part_count_unit
   double part_count_unit = 1;
   Duration now{}, part_count_unit_at{}, warm_cost_flow_at{}, multiget_counted_at{}, last_probe_end{-1h},
       next_list_call_at{}, last_log_message_at{-1h};
@@ -1175,51 +1224,52 @@
   bool sends_planned = false, probing_allowed = false;
   std::uint64_t next_arrival_order = 0;
   double fleet_slowdown = 1;
-  double fleet_wait_ratio = 1;  // time that answers lately took for their own work
-  double total_allowance_per_s = 0, recent_multiget_count = 0;  // multigets a second; and counted, faded
+  double fleet_wait_ratio = 1;  // mean of answer time over own work
+  double total_allowance_per_s = 0,
+         recent_multiget_count = 0;  // multigets per second; recent multigets, decaying
   double mean_value_density = 0, mean_send_cost = 100'000, probe_price = 0, mean_probe_micros = 1000;
-  double miss_rate = 0.05;  // share of own multigets not answered within the latency budget
-  double fleet_others_load = 0, fleet_parts_held = 1;  // others' work, and parts held, at a replica
-  double warm_cost_flow = 0;                           // own cost that warm replicas answered for, faded
-  std::array<double, 4>
-      parts_per_reported_unit{};  // parts in hand that one of each reported value stands for
+  double miss_rate = 0.05;  // fraction of own multigets not answered within the latency budget
+  double fleet_others_load = 0,
+         fleet_parts_held = 1;  // means over replicas: others_load, and parts held according to load reports
+  double warm_cost_flow = 0;    // cost of answers from warm replicas, decaying
+  std::array<double, 4> parts_per_reported_unit{};  // parts held for each unit of a reported value
   bool list_is_remembered = false, watching_list = false;
   std::optional<Duration> list_call_sent_at, scheduled_wake;
   int consecutive_refusals = 0;
   std::optional<std::string> log_message;
 };
 
-DecisionEngine::DecisionEngine(const FlatSettings& terms, std::uint32_t seed)
-    : impl_(std::make_unique<Impl>(terms, seed)) {}
+DecisionEngine::DecisionEngine(const FlatSettings& new_settings, std::uint32_t seed)
+    : impl_(std::make_unique<Impl>(new_settings, seed)) {}
 DecisionEngine::~DecisionEngine() = default;
 DecisionEngine::DecisionEngine(DecisionEngine&&) noexcept = default;
 DecisionEngine& DecisionEngine::operator=(DecisionEngine&&) noexcept = default;
 
-void DecisionEngine::update_settings(const FlatSettings& terms) {
-  Impl(terms, 0);  // refuses what makes no sense before anything changes
-  impl_->update_settings(terms);
+void DecisionEngine::update_settings(const FlatSettings& new_settings) {
+  Impl(new_settings, 0);  // throws on bad settings before anything changes
+  impl_->update_settings(new_settings);
 }
 
 void DecisionEngine::advance_clock(Duration now) { impl_->advance_clock(now); }
 void DecisionEngine::on_list_begin(bool whole, bool remembered) { impl_->on_list_begin(whole, remembered); }
-void DecisionEngine::on_list_entry(const ListEntry& row) { impl_->on_list_entry(row); }
+void DecisionEngine::on_list_entry(const ListEntry& entry) { impl_->on_list_entry(entry); }
 void DecisionEngine::on_list_complete() { impl_->on_list_complete(); }
-void DecisionEngine::on_list_call_refused(Duration most_backoff) {
-  impl_->on_list_call_refused(most_backoff);
+void DecisionEngine::on_list_call_refused(Duration max_backoff) { impl_->on_list_call_refused(max_backoff); }
+void DecisionEngine::on_multiget_received(const MultigetRequest& request) {
+  impl_->on_multiget_received(request);
 }
-void DecisionEngine::on_multiget_received(const MultigetRequest& ask) { impl_->on_multiget_received(ask); }
-void DecisionEngine::on_part_received(const PartRequest& ask) { impl_->on_part_received(ask); }
-void DecisionEngine::on_send_ended(const RequestId& part, int send, SendOutcome fate, Duration elapsed,
+void DecisionEngine::on_part_received(const PartRequest& request) { impl_->on_part_received(request); }
+void DecisionEngine::on_send_ended(const RequestId& part, int send, SendOutcome outcome, Duration elapsed,
                                    const LoadReport& load) {
-  impl_->on_send_ended(part, send, fate, elapsed, load);
+  impl_->on_send_ended(part, send, outcome, elapsed, load);
 }
 void DecisionEngine::on_client_left(const RequestId& multiget) { impl_->on_client_left(multiget); }
 std::optional<ReplyDecision> DecisionEngine::next_reply() { return impl_->next_reply(); }
 std::optional<SendCancellation> DecisionEngine::next_cancellation() { return impl_->next_cancellation(); }
 std::optional<Send> DecisionEngine::next_send() { return impl_->next_send(); }
-void DecisionEngine::on_probe_ended(std::string_view server, SendOutcome fate, Duration elapsed,
+void DecisionEngine::on_probe_ended(std::string_view server, SendOutcome outcome, Duration elapsed,
                                     const LoadReport& load) {
-  impl_->on_probe_ended(server, fate, elapsed, load);
+  impl_->on_probe_ended(server, outcome, elapsed, load);
 }
 std::optional<std::string_view> DecisionEngine::next_probe() { return impl_->next_probe(); }
 std::optional<ListCall> DecisionEngine::next_list_call() { return impl_->next_list_call(); }
--- a/src/model/settings_reader.h
+++ b/src/model/settings_reader.h
@@ -51,7 +51,7 @@
     const auto at = settings_.find(name);
     if (at == settings_.end()) return std::string(otherwise);
     const std::string* value = std::get_if<std::string>(&at->second);
-    if (value == nullptr) reject(name, "must be a word");
+    if (value == nullptr) reject(name, "must be a string");
     return *value;
   }
   bool has(std::string_view name) const { return settings_.find(name) != settings_.end(); }
