--- a/tests/choice_traces.cpp
+++ b/tests/choice_traces.cpp
@@ -1,551 +1,552 @@
-// Traces of the decision module, one case a run; the kept ones are in traces/.
+// Prints traces of the decision engine, one case per run; they are compared with those in traces/.
 #include <array>
 #include <cstring>
 #include <stdexcept>
 
-#include "bench_free.h"
+#include "scripted_gatherer.h"
 
 using namespace marbledyke;
 using namespace marbledyke::trace;
 
 namespace {
 
-// The largest part goes first, and a loaded preferred replica loses a part to the least loaded one.
+// The part with the largest cost is placed first, and a loaded preferred replica loses a part to the least
+// loaded one.
 void margin() {
-  Gatherer g(ordinary_terms());
-  g.list("ABC");
-  g.hints_fall_by = 0.5;
-  g.take("m", "abcd", 100);
-  g.decide();
-  g.at(10ms);
-  g.take("n", "abcd", 100);
-  g.decide();
+  ScriptedGatherer g(default_settings());
+  g.report_list("ABC");
+  g.hint_factor = 0.5;
+  g.receive_multiget("m", "abcd", 100);
+  g.pull_decisions();
+  g.advance_to(10ms);
+  g.receive_multiget("n", "abcd", 100);
+  g.pull_decisions();
 }
 
-// With nothing else to tell replicas apart, one shard's parts stay with the preferred one up to its fair
-// share and a fifth; the pauses let recent cost decay.
+// Replicas with equal load: a shard's parts stay with the preferred replica up to a fifth above its fair
+// share. The pauses let recent cost decay.
 void ties() {
-  Gatherer g(ordinary_terms());
-  g.list("ABC");
+  ScriptedGatherer g(default_settings());
+  g.report_list("ABC");
   for (int i = 0; i < 6; ++i) {
     const std::string name(1, static_cast<char>('m' + i));
-    g.at(i * 15s);
-    g.take(name, "a");
-    g.decide();
-    g.ended(name + "a", SendOutcome::returned, 0, 140ms);
-    g.decide();
+    g.advance_to(i * 15s);
+    g.receive_multiget(name, "a");
+    g.pull_decisions();
+    g.end_send(name + "a", SendOutcome::returned, 0, 140ms);
+    g.pull_decisions();
   }
 }
 
-// Opening a call is load: small parts ride along in a call that is open.
+// Opening a call counts as load, so small parts join a call that is already open.
 void shared_calls() {
-  Gatherer g(ordinary_terms());
-  g.list("ABC");
-  g.take("m", "abcd", 8);
-  g.decide();
+  ScriptedGatherer g(default_settings());
+  g.report_list("ABC");
+  g.receive_multiget("m", "abcd", 8);
+  g.pull_decisions();
 }
 
-// A replica that swallows one op type and answers the other loses the one and keeps the other.
+// A replica that never answers one op type but answers the other loses the first and keeps the second.
 void one_op_type_swallowed() {
-  FlatSettings terms = ordinary_terms();
-  terms["categories.1.deadline"] = 4e6;
-  terms["categories.1.objective"] = 1e6;
-  terms["categories.1.effect"] = std::string("once");
-  Gatherer g(terms);
-  g.list("AB");
+  FlatSettings settings = default_settings();
+  settings["categories.1.deadline"] = 4e6;
+  settings["categories.1.objective"] = 1e6;
+  settings["categories.1.effect"] = std::string("once");
+  ScriptedGatherer g(settings);
+  g.report_list("AB");
   for (int i = 0; i < 8; ++i) {
     const std::string name(1, static_cast<char>('m' + i));
-    g.at(i * 3s);
-    g.say("-- " + name + (i % 2 == 0 ? " non-retriable" : " retriable"));
-    g.take(name, "a", 100, i % 2 == 0 ? 1 : 0);
-    const std::string to = g.decide();
-    if (i % 2 == 1 || to != "B") g.ended(name + "a", SendOutcome::returned, 0, 140ms);
-    g.until(i * 3s + 2s);
-    g.ended(name + "a", SendOutcome::revoked, 0, 2s);
+    g.advance_to(i * 3s);
+    g.print("-- " + name + (i % 2 == 0 ? " non-retriable" : " retriable"));
+    g.receive_multiget(name, "a", 100, i % 2 == 0 ? 1 : 0);
+    const std::string to = g.pull_decisions();
+    if (i % 2 == 1 || to != "B") g.end_send(name + "a", SendOutcome::returned, 0, 140ms);
+    g.run_until(i * 3s + 2s);
+    g.end_send(name + "a", SendOutcome::revoked, 0, 2s);
   }
 }
 
-// Rule 1: one final answer before the client leaves, also from silence and from an empty list; nothing is
-// sent after.
+// Rule 1: exactly one final reply before the client leaves, also if no server answers or the list is empty;
+// nothing is sent afterwards.
 void rule_final_answer() {
-  Gatherer silent(ordinary_terms());
-  silent.list("AB");
-  silent.take("m", "ab", 100, 0, 0, 3s);
-  silent.decide();
-  silent.until(3200ms);
-  silent.ended("ma", SendOutcome::dropped);
-  silent.decide();
-  Gatherer empty(ordinary_terms());
-  empty.take("n", "a", 100, 0, 0, 1s);
-  empty.decide();
-  empty.until(1100ms);
+  ScriptedGatherer silent(default_settings());
+  silent.report_list("AB");
+  silent.receive_multiget("m", "ab", 100, 0, 0, 3s);
+  silent.pull_decisions();
+  silent.run_until(3200ms);
+  silent.end_send("ma", SendOutcome::dropped);
+  silent.pull_decisions();
+  ScriptedGatherer empty(default_settings());
+  empty.receive_multiget("n", "a", 100, 0, 0, 1s);
+  empty.pull_decisions();
+  empty.run_until(1100ms);
 }
 
-// Rule 2: what may have run is not sent again, nor pushed back; what is proven not to have run is sent again.
+// Rule 2: a part that may have run is neither sent again nor pushed back; one that has provably not run is
+// sent again.
 void rule_no_effect_twice() {
-  FlatSettings terms = ordinary_terms();
-  terms["categories.0.effect"] = std::string("once");
-  terms["categories.1.deadline"] = 4e6;
-  terms["categories.1.effect"] = std::string("by_key");
-  terms["categories.1.key-ttl"] = 1e6;
-  for (const SendOutcome fate : {SendOutcome::pushed_back, SendOutcome::dial_failed, SendOutcome::app_error,
-                                 SendOutcome::dropped, SendOutcome::expired}) {
-    Gatherer g(terms);
-    g.say("-- fate " + std::to_string(static_cast<int>(fate)));
-    g.list("AB");
-    g.take("m", "a");
-    g.decide();
-    g.at(20ms);
-    g.ended("ma", fate);
-    g.decide();
+  FlatSettings settings = default_settings();
+  settings["categories.0.effect"] = std::string("once");
+  settings["categories.1.deadline"] = 4e6;
+  settings["categories.1.effect"] = std::string("by_key");
+  settings["categories.1.key-ttl"] = 1e6;
+  for (const SendOutcome outcome : {SendOutcome::pushed_back, SendOutcome::dial_failed,
+                                    SendOutcome::app_error, SendOutcome::dropped, SendOutcome::expired}) {
+    ScriptedGatherer g(settings);
+    g.print("-- outcome " + std::to_string(static_cast<int>(outcome)));
+    g.report_list("AB");
+    g.receive_multiget("m", "a");
+    g.pull_decisions();
+    g.advance_to(20ms);
+    g.end_send("ma", outcome);
+    g.pull_decisions();
   }
   for (const Duration late : {990ms, 1010ms}) {
-    Gatherer g(terms);
-    g.say("-- deduped, error after " + std::to_string(late / 1ms) + " ms");
-    g.list("A");
-    g.take("m", "a", 600, 1);
-    g.decide();
-    g.at(late);
-    g.ended("ma", SendOutcome::app_error);
-    g.decide();
+    ScriptedGatherer g(settings);
+    g.print("-- deduped, error after " + std::to_string(late / 1ms) + " ms");
+    g.report_list("A");
+    g.receive_multiget("m", "a", 600, 1);
+    g.pull_decisions();
+    g.advance_to(late);
+    g.end_send("ma", SendOutcome::app_error);
+    g.pull_decisions();
   }
 }
 
-// Rule 3: nothing goes to a replica that drains, is gone, or is missing from a whole list.
+// Rule 3: nothing is sent to a replica that is draining, gone, or missing from a whole list.
 void rule_drains() {
-  Gatherer g(ordinary_terms());
-  g.list("ABC");
-  g.list("A", ServerStatus::draining);
-  g.list("B", ServerStatus::gone);
-  g.take("m", "abcd");
-  g.decide();
-  g.choice().on_list_begin(true, false);
-  g.choice().on_list_entry({"A", 0, 0, ServerStatus::up, 1, {}});
-  g.choice().on_list_complete();
-  g.at(10ms);
-  g.take("n", "abcd");
-  g.decide();
+  ScriptedGatherer g(default_settings());
+  g.report_list("ABC");
+  g.report_list("A", ServerStatus::draining);
+  g.report_list("B", ServerStatus::gone);
+  g.receive_multiget("m", "abcd");
+  g.pull_decisions();
+  g.engine().on_list_begin(true, false);
+  g.engine().on_list_entry({"A", 0, 0, ServerStatus::up, 1, {}});
+  g.engine().on_list_complete();
+  g.advance_to(10ms);
+  g.receive_multiget("n", "abcd");
+  g.pull_decisions();
 }
 
-// Rule 4: a cold replica gets this gatherer's share of the budget over the window, and more as it warms.
+// Rule 4: a cold replica gets at most this gatherer's share of the budget in each window, and more as it
+// warms up.
 void rule_cold_share() {
-  Gatherer g(ordinary_terms());
+  ScriptedGatherer g(default_settings());
   g.quiet = true;
-  g.list("A");
-  g.list("B", ServerStatus::up, 0ms);
+  g.report_list("A");
+  g.report_list("B", ServerStatus::up, 0ms);
   int sent = 0;
   for (int i = 0; i < 480; ++i) {
-    g.at(i * 25ms);
+    g.advance_to(i * 25ms);
     const std::string name =
         std::string(1, static_cast<char>('a' + i % 26)) + static_cast<char>('a' + i / 26);
-    g.take(name, "p", 60);
-    const std::string to = g.decide();
+    g.receive_multiget(name, "p", 60);
+    const std::string to = g.pull_decisions();
     sent += to == "B" ? 1 : 0;
-    g.ended(name + "p", SendOutcome::returned, 0, 100ms);
-    g.decide();
+    g.end_send(name + "p", SendOutcome::returned, 0, 100ms);
+    g.pull_decisions();
     if (i % 40 == 39) {
-      g.say("sent to the cold one in this second: " + std::to_string(sent));
+      g.print("sent to the cold replica in 1 s: " + std::to_string(sent));
       sent = 0;
     }
   }
 }
 
-// Rule 5: no answer under the floor, none marked whole that is not; a part counts once, and the second step
-// by itself.
+// Rule 5: no answer below the minimum weight, and none marked complete that is not. Each part counts once,
+// and the second step counts separately.
 void rule_honest() {
-  FlatSettings terms = ordinary_terms();
-  terms["specifics.class-floor.0"] = 0.5;
-  terms["specifics.short-worth.0"] = 0.9;
-  Gatherer g(terms);
-  g.list("AB");
-  g.take("m", "abcd");
-  g.take("n", "abcd");
-  g.decide();
-  for (const char* part : {"ma", "mb", "na", "na"}) g.ended(part, SendOutcome::returned);
-  g.until(4s);
-  FlatSettings two = ordinary_terms();
+  FlatSettings settings = default_settings();
+  settings["specifics.class-floor.0"] = 0.5;
+  settings["specifics.short-worth.0"] = 0.9;
+  ScriptedGatherer g(settings);
+  g.report_list("AB");
+  g.receive_multiget("m", "abcd");
+  g.receive_multiget("n", "abcd");
+  g.pull_decisions();
+  for (const char* part : {"ma", "mb", "na", "na"}) g.end_send(part, SendOutcome::returned);
+  g.run_until(4s);
+  FlatSettings two = default_settings();
   two["specifics.second-step.0"] = 2.0;
-  Gatherer h(two);
-  h.list("AB");
-  h.take("o", "ab");
-  h.decide();
-  h.ended("oa", SendOutcome::returned);
-  h.ended("ob", SendOutcome::returned);
-  h.at(200ms);
-  h.decide();
-  h.at(205ms);
-  h.more_parts("o", 1, "xy", 50, 0);
-  h.decide();
-  h.ended("ox", SendOutcome::returned);
-  h.at(300ms);
-  h.decide();
-  h.ended("oy", SendOutcome::returned);
-  h.at(310ms);
-  h.decide();
+  ScriptedGatherer h(two);
+  h.report_list("AB");
+  h.receive_multiget("o", "ab");
+  h.pull_decisions();
+  h.end_send("oa", SendOutcome::returned);
+  h.end_send("ob", SendOutcome::returned);
+  h.advance_to(200ms);
+  h.pull_decisions();
+  h.advance_to(205ms);
+  h.receive_parts("o", 1, "xy", 50, 0);
+  h.pull_decisions();
+  h.end_send("ox", SendOutcome::returned);
+  h.advance_to(300ms);
+  h.pull_decisions();
+  h.end_send("oy", SendOutcome::returned);
+  h.advance_to(310ms);
+  h.pull_decisions();
 }
 
-// A part that can neither return nor be sent again ends its multiget, unless the rest can still make an
-// answer.
+// A part that can neither return nor be sent again ends its multiget, unless the remaining parts still
+// suffice for an answer.
 void lost_parts() {
-  FlatSettings terms = ordinary_terms();
-  terms["categories.0.effect"] = std::string("once");
-  terms["specifics.class-floor.0"] = 0.5;
+  FlatSettings settings = default_settings();
+  settings["categories.0.effect"] = std::string("once");
+  settings["specifics.class-floor.0"] = 0.5;
   for (const int errors : {1, 3}) {
-    Gatherer g(terms);
-    g.say("-- errors " + std::to_string(errors));
-    g.list("AB");
-    g.take("m", "abcd");
-    g.decide();
+    ScriptedGatherer g(settings);
+    g.print("-- errors " + std::to_string(errors));
+    g.report_list("AB");
+    g.receive_multiget("m", "abcd");
+    g.pull_decisions();
     for (int i = 0; i < errors; ++i)
-      g.ended(std::string("m") + static_cast<char>('a' + i), SendOutcome::app_error);
-    g.at(50ms);
-    g.decide();
-    g.ended("md", SendOutcome::returned);
-    g.at(100ms);
-    g.decide();
-    g.ended("mc", SendOutcome::returned);
-    g.at(150ms);
-    g.decide();
+      g.end_send(std::string("m") + static_cast<char>('a' + i), SendOutcome::app_error);
+    g.advance_to(50ms);
+    g.pull_decisions();
+    g.end_send("md", SendOutcome::returned);
+    g.advance_to(100ms);
+    g.pull_decisions();
+    g.end_send("mc", SendOutcome::returned);
+    g.advance_to(150ms);
+    g.pull_decisions();
   }
 }
 
-// A list that lies: a replica it calls up cannot be reached. It is soon left out, and tried again now and
-// then.
+// The list says that a replica is up, but it cannot be reached. It soon gets no more work, except for an
+// occasional attempt.
 void list_lies() {
-  Gatherer g(ordinary_terms());
+  ScriptedGatherer g(default_settings());
   g.quiet = true;
-  g.list("ABC");
+  g.report_list("ABC");
   int tried = 0;
   for (int i = 0; i < 300; ++i) {
-    g.at(i * 50ms);
+    g.advance_to(i * 50ms);
     const std::string name =
         std::string(1, static_cast<char>('a' + i % 26)) + static_cast<char>('a' + i / 26);
-    g.take(name, "p", 60);
-    const std::string to = g.decide();
+    g.receive_multiget(name, "p", 60);
+    const std::string to = g.pull_decisions();
     tried += to == "B" ? 1 : 0;
-    g.ended(name + "p", to == "B" ? SendOutcome::dial_failed : SendOutcome::returned, 0, 100ms);
-    g.decide();
-    g.ended(name + "p", SendOutcome::returned, 1, 100ms);
-    g.decide();
+    g.end_send(name + "p", to == "B" ? SendOutcome::dial_failed : SendOutcome::returned, 0, 100ms);
+    g.pull_decisions();
+    g.end_send(name + "p", SendOutcome::returned, 1, 100ms);
+    g.pull_decisions();
     if (i % 60 == 59) {
-      g.say("sent to the lost one in these 3 s: " + std::to_string(tried));
+      g.print("sent to the unreachable replica in 3 s: " + std::to_string(tried));
       tried = 0;
     }
   }
 }
 
-// Servers come under ever new ids, one a second, each gone after two: nothing is kept of them for longer than
-// a cold start lasts, but for the one that a part is still out to, and a drained one is still known as such.
+// Guards against unbounded memory where servers come under ever new ids: one starts each second and is gone
+// after two. Their state is kept no longer than a cold start lasts, except for a server with a send in
+// flight; a draining server stays known.
 void forgotten() {
-  Gatherer g(ordinary_terms());
-  g.list("A");
-  g.take("m", "p", 100, 0, 0, 1000s);
-  g.decide();
-  g.list("A", ServerStatus::gone);
-  g.list("Z", ServerStatus::draining);
-  const auto listed = [&](int i, ServerStatus standing) {
-    g.choice().on_list_begin(false, false);
-    g.choice().on_list_entry({"s" + std::to_string(i), 0, 0, standing, 1, {}});
-    g.choice().on_list_complete();
+  ScriptedGatherer g(default_settings());
+  g.report_list("A");
+  g.receive_multiget("m", "p", 100, 0, 0, 1000s);
+  g.pull_decisions();
+  g.report_list("A", ServerStatus::gone);
+  g.report_list("Z", ServerStatus::draining);
+  const auto listed = [&](int i, ServerStatus status) {
+    g.engine().on_list_begin(false, false);
+    g.engine().on_list_entry({"s" + std::to_string(i), 0, 0, status, 1, {}});
+    g.engine().on_list_complete();
   };
   for (int i = 0; i < 300; ++i) {
-    g.at(1s * (i + 1));
+    g.advance_to(1s * (i + 1));
     listed(i, ServerStatus::up);
     if (i > 1) listed(i - 2, ServerStatus::gone);
-    if (i % 100 == 99) g.say("servers known: " + std::to_string(g.choice().known_server_count()));
+    if (i % 100 == 99) g.print("servers known: " + std::to_string(g.engine().known_server_count()));
   }
-  g.list("A");
-  g.take("n", "p", 100, 0, 0, 1000s);
-  g.decide();
+  g.report_list("A");
+  g.receive_multiget("n", "p", 100, 0, 0, 1000s);
+  g.pull_decisions();
 }
 
-// B answers ten times slower and A quickly fails half, from 5 s to 15 s: B keeps little of the work, A loses
-// some. long as it lasts.
+// From 5 s to 15 s, B answers ten times slower and A quickly fails half of its sends: B keeps little of the
+// work, and A loses some, as long as that lasts.
 void sick_replicas() {
-  Gatherer g(ordinary_terms());
+  ScriptedGatherer g(default_settings());
   g.quiet = true;
-  g.list("ABCD");
+  g.report_list("ABCD");
   std::map<std::string, int> sent;
   for (int i = 0; i < 400; ++i) {
-    g.at(i * 50ms);
+    g.advance_to(i * 50ms);
     const std::string name =
         std::string(1, static_cast<char>('a' + i % 26)) + static_cast<char>('a' + i / 26);
-    g.take(name, "p", 60);
-    const std::string to = g.decide();
+    g.receive_multiget(name, "p", 60);
+    const std::string to = g.pull_decisions();
     sent[to] += 1;
     const bool sick = i >= 100 && i < 300;
     const bool fails = sick && to == "A" && i % 2 == 0;
-    g.ended(name + "p", fails ? SendOutcome::app_error : SendOutcome::returned, 0,
-            sick && to == "B" ? 1000ms : 100ms);
-    g.decide();
-    g.ended(name + "p", SendOutcome::returned, 1, 100ms);
-    g.decide();
+    g.end_send(name + "p", fails ? SendOutcome::app_error : SendOutcome::returned, 0,
+               sick && to == "B" ? 1000ms : 100ms);
+    g.pull_decisions();
+    g.end_send(name + "p", SendOutcome::returned, 1, 100ms);
+    g.pull_decisions();
     if (i % 100 == 99) {
-      g.say("A " + std::to_string(sent["A"]) + " B " + std::to_string(sent["B"]) + " C " +
-            std::to_string(sent["C"]) + " D " + std::to_string(sent["D"]));
+      g.print("A " + std::to_string(sent["A"]) + " B " + std::to_string(sent["B"]) + " C " +
+              std::to_string(sent["C"]) + " D " + std::to_string(sent["D"]));
       sent.clear();
     }
   }
 }
 
-// Clients that all come again at once, far over what can be done: what is admitted still fits the latency
-// budget.
+// Many clients retry at once, far beyond the capacity: the admitted multigets still fit the latency budget.
 void stampede() {
-  Gatherer g(ordinary_terms());
+  ScriptedGatherer g(default_settings());
   g.quiet = true;
-  g.list("AB");
+  g.report_list("AB");
   int admitted = 0;
   for (int i = 0; i < 90; ++i) {
     const std::string name =
         std::string(1, static_cast<char>('a' + i % 26)) + static_cast<char>('a' + i / 26);
-    g.take(name, "p", 200);
-    admitted += g.decide().empty() ? 0 : 1;
-    g.at((i + 1) * 1ms);
+    g.receive_multiget(name, "p", 200);
+    admitted += g.pull_decisions().empty() ? 0 : 1;
+    g.advance_to((i + 1) * 1ms);
   }
-  g.say("sent on at once: " + std::to_string(admitted) + " of 90");
+  g.print("admitted at once: " + std::to_string(admitted) + " of 90");
 }
 
-// A deploy is no jam: with only cold replicas left, an ordinary multiget is taken on, not pushed back.
+// A deploy does not count as congestion: with only cold replicas, an ordinary multiget is admitted.
 void cold_is_no_jam() {
-  Gatherer g(ordinary_terms());
-  g.list("AB", ServerStatus::up, 0ms);
-  g.take("m", "a", 700);
-  g.decide();
+  ScriptedGatherer g(default_settings());
+  g.report_list("AB", ServerStatus::up, 0ms);
+  g.receive_multiget("m", "a", 700);
+  g.pull_decisions();
 }
 
-// Rule 6: further sends stay within the stated budget: here one, and a tenth of the three taken.
+// Rule 6: resends stay within the stated budget: here one, plus a tenth of the three requests received.
 void rule_budget() {
-  FlatSettings terms = ordinary_terms();
-  terms["contract.resend-span"] = 10e6;
-  terms["contract.extra-floor"] = 1.0;
-  terms["contract.extra-per-request"] = 0.1;
-  Gatherer g(terms);
-  g.list("ABC");
-  g.take("m", "ab");
-  g.decide();
-  g.at(50ms);
-  g.ended("ma", SendOutcome::app_error);
-  g.ended("mb", SendOutcome::app_error);
-  g.decide();
+  FlatSettings settings = default_settings();
+  settings["contract.resend-span"] = 10e6;
+  settings["contract.extra-floor"] = 1.0;
+  settings["contract.extra-per-request"] = 0.1;
+  ScriptedGatherer g(settings);
+  g.report_list("ABC");
+  g.receive_multiget("m", "ab");
+  g.pull_decisions();
+  g.advance_to(50ms);
+  g.end_send("ma", SendOutcome::app_error);
+  g.end_send("mb", SendOutcome::app_error);
+  g.pull_decisions();
 }
 
-// A list that must be asked for: watched at once, again after a refusal and a spread-out wait.
+// The engine has to ask for the list: it calls at once, and again after a refusal and a wait with jitter.
 void list_asked() {
-  FlatSettings terms = ordinary_terms();
-  terms["registry-mode"] = std::string("ask");
-  terms["contract.ask-every"] = 10e6;
-  Gatherer g(terms);
-  g.decide();
-  g.until(1s);
-  g.choice().on_list_call_refused(3s);
-  g.until(3s);
-  g.list("A");
-  g.until(30s);
-  g.choice().on_list_call_refused(3s);
-  g.until(31s);
+  FlatSettings settings = default_settings();
+  settings["registry-mode"] = std::string("ask");
+  settings["contract.ask-every"] = 10e6;
+  ScriptedGatherer g(settings);
+  g.pull_decisions();
+  g.run_until(1s);
+  g.engine().on_list_call_refused(3s);
+  g.run_until(3s);
+  g.report_list("A");
+  g.run_until(30s);
+  g.engine().on_list_call_refused(3s);
+  g.run_until(31s);
 }
 
-// Before parts are placed their replicas are asked: a loaded one and a silent one are passed over. Where a
-// probe's price outweighs what is missed, nothing is asked.
+// The replicas of a part are probed before it is placed: a loaded one and one that does not answer are passed
+// over. If the price of a probe outweighs the expected gain, none is sent.
 void looks() {
-  FlatSettings terms = ordinary_terms();
-  terms["limits.probing"] = true;
-  terms["telemetry.fields.0"] = std::string("active");
-  Gatherer g(terms);
-  g.list("ABC");
-  g.take("m", "a");
-  g.decide();
-  g.at(5ms);
-  g.asked("A", SendOutcome::returned, 0);
-  g.asked("B", SendOutcome::returned, 9);
-  g.decide();
-  g.until(60ms);
-  terms["prices.probe"] = 5.0;
-  Gatherer dear(terms);
-  dear.say("-- dear");
-  dear.list("ABC");
-  dear.take("m", "a");
-  dear.decide();
+  FlatSettings settings = default_settings();
+  settings["limits.probing"] = true;
+  settings["telemetry.fields.0"] = std::string("active");
+  ScriptedGatherer g(settings);
+  g.report_list("ABC");
+  g.receive_multiget("m", "a");
+  g.pull_decisions();
+  g.advance_to(5ms);
+  g.end_probe("A", SendOutcome::returned, 0);
+  g.end_probe("B", SendOutcome::returned, 9);
+  g.pull_decisions();
+  g.run_until(60ms);
+  settings["prices.probe"] = 5.0;
+  ScriptedGatherer expensive(settings);
+  expensive.print("-- expensive probes");
+  expensive.report_list("ABC");
+  expensive.receive_multiget("m", "a");
+  expensive.pull_decisions();
 }
 
-// Many parts that fail at once all go again at once: no budget is stated, and tries add no work.
+// Many parts that fail at once are all sent again at once: no budget is stated, and retries add no load.
 void quick_failures() {
-  Gatherer g(ordinary_terms());
+  ScriptedGatherer g(default_settings());
   g.quiet = true;
-  g.list("ABC");
+  g.report_list("ABC");
   std::string parts;
   for (int i = 0; i < 26; ++i) parts += static_cast<char>('a' + i);
-  g.take("m", parts, 20);
-  g.decide();
-  g.at(5ms);
-  for (const char part : parts) g.ended({'m', part}, SendOutcome::dropped, 0, 5ms);
+  g.receive_multiget("m", parts, 20);
+  g.pull_decisions();
+  g.advance_to(5ms);
+  for (const char part : parts) g.end_send({'m', part}, SendOutcome::dropped, 0, 5ms);
   g.quiet = false;
-  g.decide();
+  g.pull_decisions();
 }
 
-// With a fair share far below one send a window, few of many gatherers send to a cold replica at all; and
-// where all of them have parts for it all the time, one that has sent waits until its share makes up the next
-// send.
+// With a fair share far below one send per window, few of many gatherers send to a cold replica at all. If
+// all of them have parts for it all the time, one that has sent waits until its share covers the next send.
 void cold_turns() {
-  FlatSettings terms = ordinary_terms();
-  terms["replicas-of-me"] = 100.0;
+  FlatSettings settings = default_settings();
+  settings["replicas-of-me"] = 100.0;
   std::array<int, 4> sent{};
   for (unsigned seed = 1; seed <= 100; ++seed) {
-    DecisionEngine choice(terms, seed);
-    choice.advance_clock(0ms);
-    choice.on_list_begin(false, false);
-    ListEntry row;
-    row.server = std::string(1, 'A');
-    row.started = 0ms;
-    choice.on_list_entry(row);
-    choice.on_list_complete();
+    DecisionEngine engine(settings, seed);
+    engine.advance_clock(0ms);
+    engine.on_list_begin(false, false);
+    ListEntry entry;
+    entry.server = std::string(1, 'A');
+    entry.started = 0ms;
+    engine.on_list_entry(entry);
+    engine.on_list_complete();
     for (std::size_t window = 0; window < sent.size(); ++window) {
       const std::string name(1, static_cast<char>('m' + window));
       const Duration now = static_cast<std::int64_t>(window) * 1001ms;
-      choice.advance_clock(now);
-      choice.on_multiget_received({rid(name), static_cast<double>(window + 1), 0, 0, 1, now + 4s});
-      choice.on_part_received({rid(name + "a"), static_cast<double>(window + 1), 0, 1.0, 0, 100ms});
-      while (choice.next_reply()) {
+      engine.advance_clock(now);
+      engine.on_multiget_received({request_id(name), static_cast<double>(window + 1), 0, 0, 1, now + 4s});
+      engine.on_part_received({request_id(name + "a"), static_cast<double>(window + 1), 0, 1.0, 0, 100ms});
+      while (engine.next_reply()) {
       }
-      while (choice.next_send()) sent[window] += 1;
+      while (engine.next_send()) sent[window] += 1;
     }
   }
   std::printf("sends by 100 gatherers in a window: %d\n", sent[0]);
   std::printf("and in the next ones: %d, %d, %d\n", sent[1], sent[2], sent[3]);
 }
 
-// Where no two sends of a part may be out together, an overdue one is withdrawn, and only its end sends the
-// part again: not at all once the window of a deduped one is over. An answer that crosses the withdrawal
-// counts.
+// Where hedging is not allowed, an overdue send is cancelled, and the part is sent again only after that send
+// has ended, and not at all once the dedupe window is over. An answer that crosses the cancellation counts.
 void moved_not_copied() {
-  FlatSettings terms = ordinary_terms();
-  terms["limits.second-copies"] = false;
-  terms["categories.0.effect"] = std::string("by_key");
-  terms["categories.0.key-ttl"] = 2e6;
-  terms["limits.connect-timeout"] = 250e3;  // a send may wait so long for its connection
+  FlatSettings settings = default_settings();
+  settings["limits.second-copies"] = false;
+  settings["categories.0.effect"] = std::string("by_key");
+  settings["categories.0.key-ttl"] = 2e6;
+  settings["limits.connect-timeout"] = 250e3;  // longest wait of a send for its connection
   for (const Duration end : {1500ms, 1800ms}) {
-    Gatherer g(terms);
-    g.list("AB");
-    g.take("m", "a");
-    g.decide();
-    g.until(end);
-    g.at(end + 5ms);
-    g.say("-- the withdrawn send has ended");
-    g.ended("ma", SendOutcome::revoked, 0, end);
-    g.decide();
+    ScriptedGatherer g(settings);
+    g.report_list("AB");
+    g.receive_multiget("m", "a");
+    g.pull_decisions();
+    g.run_until(end);
+    g.advance_to(end + 5ms);
+    g.print("-- the cancelled send has ended");
+    g.end_send("ma", SendOutcome::revoked, 0, end);
+    g.pull_decisions();
   }
-  Gatherer g(terms);
-  g.list("AB");
-  g.take("m", "a");
-  g.decide();
-  g.until(1500ms);
-  g.at(1505ms);
-  g.say("-- its answer was under way");
-  g.ended("ma", SendOutcome::returned, 0, 1500ms);
-  g.decide();
+  ScriptedGatherer g(settings);
+  g.report_list("AB");
+  g.receive_multiget("m", "a");
+  g.pull_decisions();
+  g.run_until(1500ms);
+  g.advance_to(1505ms);
+  g.print("-- it was answered before the cancellation arrived");
+  g.end_send("ma", SendOutcome::returned, 0, 1500ms);
+  g.pull_decisions();
 }
 
-// A replica that is overdue is asked. One that answers has much to do and keeps the part; one that is silent
-// to that as well loses it.
+// An overdue replica is probed. If it answers, it is only busy and keeps the part; if not, it loses the part.
 void silence_moves() {
-  FlatSettings terms = ordinary_terms();
-  terms["limits.second-copies"] = false;
-  terms["limits.probing"] = true;
-  terms["prices.probe"] = 1.0;
+  FlatSettings settings = default_settings();
+  settings["limits.second-copies"] = false;
+  settings["limits.probing"] = true;
+  settings["prices.probe"] = 1.0;
   for (const bool answers : {true, false}) {
-    Gatherer g(terms);
-    g.say(answers ? "-- answers when asked" : "-- silent when asked");
-    g.list("AB");
-    g.take("m", "a");
-    const std::string to = g.decide();
-    g.until(450ms);
-    if (answers) g.asked(to, SendOutcome::returned, 4);
-    g.until(700ms);
+    ScriptedGatherer g(settings);
+    g.print(answers ? "-- answers the probe" : "-- does not answer the probe");
+    g.report_list("AB");
+    g.receive_multiget("m", "a");
+    const std::string to = g.pull_decisions();
+    g.run_until(450ms);
+    if (answers) g.end_probe(to, SendOutcome::returned, 4);
+    g.run_until(700ms);
   }
 }
 
-// What may be answered in part is, before the latency budget is over: a late answer is worth little.
+// An incomplete answer is given shortly before the latency budget is over, since a late one is worth little.
 void partial_in_time() {
-  FlatSettings terms = ordinary_terms();
-  terms["specifics.class-floor.0"] = 0.7;
-  terms["specifics.short-worth.0"] = 0.9;
-  terms["categories.0.objective"] = 1e6;
+  FlatSettings settings = default_settings();
+  settings["specifics.class-floor.0"] = 0.7;
+  settings["specifics.short-worth.0"] = 0.9;
+  settings["categories.0.objective"] = 1e6;
   for (const int in : {2, 3}) {
-    Gatherer g(terms);
-    g.say("-- parts in: " + std::to_string(in));
-    g.list("AB");
-    g.take("m", "abcd");
-    g.decide();
+    ScriptedGatherer g(settings);
+    g.print("-- parts in: " + std::to_string(in));
+    g.report_list("AB");
+    g.receive_multiget("m", "abcd");
+    g.pull_decisions();
     g.quiet = true;
     for (int i = 0; i < in; ++i)
-      g.ended(std::string("m") + static_cast<char>('a' + i), SendOutcome::returned);
-    g.until(970ms);
+      g.end_send(std::string("m") + static_cast<char>('a' + i), SendOutcome::returned);
+    g.run_until(970ms);
     g.quiet = false;
-    g.until(1010ms);
+    g.run_until(1010ms);
   }
 }
 
-// One part that none can return soon pushes a multiget back only where an answer needs it.
+// A part that no replica can return leads to a push-back only if an answer needs that part.
 void expected_for_an_answer() {
   for (const double floor : {0.7, 1.0}) {
-    FlatSettings terms = ordinary_terms();
-    terms["specifics.class-floor.0"] = floor;
-    terms["specifics.short-worth.0"] = 0.9;
-    terms["specifics.sets"] = 4.0;
-    Gatherer g(terms);
-    for (int cell = 0; cell < 3; ++cell) {  // nobody is up in the last one
-      ListEntry row;
-      row.server = std::string(1, static_cast<char>('A' + cell));
-      row.cell = cell;
-      g.choice().on_list_begin(false, false);
-      g.choice().on_list_entry(row);
-      g.choice().on_list_complete();
+    FlatSettings settings = default_settings();
+    settings["specifics.class-floor.0"] = floor;
+    settings["specifics.short-worth.0"] = 0.9;
+    settings["specifics.sets"] = 4.0;
+    ScriptedGatherer g(settings);
+    for (int cell = 0; cell < 3; ++cell) {  // no server of the last cell is up
+      ListEntry entry;
+      entry.server = std::string(1, static_cast<char>('A' + cell));
+      entry.cell = cell;
+      g.engine().on_list_begin(false, false);
+      g.engine().on_list_entry(entry);
+      g.engine().on_list_complete();
     }
-    g.take("m", "abcd");
-    g.decide();
+    g.receive_multiget("m", "abcd");
+    g.pull_decisions();
   }
 }
 
-// A customer's share is split by the traffic that a gatherer has: one that takes four times the mean does not
-// push back what is inside the customers' shares. In a jam, what is beyond goes first.
+// A customer's allowance is split among gatherers by traffic: a gatherer with four times the mean does not
+// push back multigets within the allowances. Under congestion, those beyond an allowance are pushed back
+// first.
 void shares_by_traffic() {
-  FlatSettings terms = ordinary_terms();
-  terms["over-share-worth"] = 0.1;
-  terms["replicas-of-me"] = 8.0;
+  FlatSettings settings = default_settings();
+  settings["over-share-worth"] = 0.1;
+  settings["replicas-of-me"] = 8.0;
   for (int i = 0; i < 2; ++i) {
     const std::string at = "customers." + std::to_string(i);
-    terms[at + ".name"] = std::string(i == 0 ? "one" : "two");
-    terms[at + ".allowance-per-s"] = 0.5;
+    settings[at + ".name"] = std::string(i == 0 ? "one" : "two");
+    settings[at + ".allowance-per-s"] = 0.5;
   }
   for (const int of_one : {2, 3}) {  // in four multigets
-    Gatherer g(terms);
+    ScriptedGatherer g(settings);
     g.quiet = true;
-    g.list("AB");
+    g.report_list("AB");
     int back[2] = {0, 0};
     for (int i = 0; i < 160; ++i) {
       const Duration start = i * 2s;
-      g.at(start);
+      g.advance_to(start);
       const std::string name =
           std::string("m") + static_cast<char>('a' + i / 20) + static_cast<char>('a' + i % 20);
       const int customer = i % 4 < of_one ? 0 : 1;
-      g.choice().on_multiget_received({rid(name), 1000.0 + i, 0, customer, 1, start + 4s});
-      g.choice().on_part_received({rid(name + 'a'), 1000.0 + i, 0, 1.0, 0, 100ms});
-      while (const auto v = g.choice().next_reply())
+      g.engine().on_multiget_received({request_id(name), 1000.0 + i, 0, customer, 1, start + 4s});
+      g.engine().on_part_received({request_id(name + 'a'), 1000.0 + i, 0, 1.0, 0, 100ms});
+      while (const auto v = g.engine().next_reply())
         back[customer] += v->outcome == MultigetOutcome::push_back ? 1 : 0;
-      g.decide();
-      g.at(start + 700ms);
-      g.ended(name + 'a', SendOutcome::returned, 0, 700ms);
-      g.decide();
+      g.pull_decisions();
+      g.advance_to(start + 700ms);
+      g.end_send(name + 'a', SendOutcome::returned, 0, 700ms);
+      g.pull_decisions();
     }
-    std::printf("%d of 4 are of one: pushed back %d of one, %d of two\n", of_one, back[0], back[1]);
+    std::printf("%d of 4 from customer one: pushed back %d of one, %d of two\n", of_one, back[0], back[1]);
   }
 }
 
-// New terms: what is in hand ends under the old ones, nothing of it is sent twice, two sends of a part do not
-// stay out together where that is no longer allowed, and what was sent counts against the new budget. The way
-// back is the same step. Terms that make no sense change nothing.
+// New settings: open multigets end under the old ones, and none of their parts is sent twice. Two sends of a
+// part do not stay in flight together where hedging is no longer allowed, and earlier sends count against the
+// new budget. The old settings can be put back in the same way. Invalid settings change nothing.
 void renewed() {
-  FlatSettings before = ordinary_terms();
+  FlatSettings before = default_settings();
   FlatSettings after = before;
   after["limits.second-copies"] = false;
   after["categories.0.effect"] = std::string("once");
@@ -559,94 +560,94 @@
   after["contract.resend-span"] = 10e6;
   after["contract.extra-floor"] = 1.0;
   after["contract.extra-per-request"] = 0.0;
-  Gatherer g(before);
-  g.list("AB");
-  g.take("m", "a");
-  g.take("o", "a", 100, 0, 1);
-  g.decide();
-  g.ended("oa", SendOutcome::app_error);
-  g.until(600ms);
-  FlatSettings senseless = after;
-  senseless["limits.attempts-cap"] = 0.0;
+  ScriptedGatherer g(before);
+  g.report_list("AB");
+  g.receive_multiget("m", "a");
+  g.receive_multiget("o", "a", 100, 0, 1);
+  g.pull_decisions();
+  g.end_send("oa", SendOutcome::app_error);
+  g.run_until(600ms);
+  FlatSettings invalid = after;
+  invalid["limits.attempts-cap"] = 0.0;
   try {
-    g.choice().update_settings(senseless);
+    g.engine().update_settings(invalid);
   } catch (const std::invalid_argument& wrong) {
-    g.say(std::string("refused: ") + wrong.what());
+    g.print(std::string("refused: ") + wrong.what());
   }
-  g.choice().update_settings(after);
-  g.say("-- new terms");
-  g.decide();
-  ListEntry row;
-  row.server = "C";
-  row.cell = 1;
-  g.choice().on_list_begin(false, false);
-  g.choice().on_list_entry(row);
-  g.choice().on_list_complete();
-  g.at(620ms);
-  g.ended("ma", SendOutcome::revoked, 0, 620ms);
-  g.take("n", "ab", 100, 1);
-  g.take("u", "a", 100, 0);
-  g.decide();
-  g.at(700ms);
-  g.say("-- errors: of one in hand since before, of one of the new terms, of one that is not to be repeated");
-  for (const char* part : {"oa", "na", "ua"}) g.ended(part, SendOutcome::app_error, *part == 'o' ? 1 : 0);
-  g.decide();
-  g.choice().update_settings(before);
-  g.at(800ms);
-  g.say("-- the way back");
-  g.decide();
-  g.at(900ms);
-  g.ended("oa", SendOutcome::returned, 2);
-  g.ended("nb", SendOutcome::returned);
-  g.ended("ma", SendOutcome::returned, 1);
-  g.take("p", "a");
-  g.decide();
-  g.at(950ms);
-  g.ended("pa", SendOutcome::returned);
-  g.until(1700ms);
+  g.engine().update_settings(after);
+  g.print("-- new settings");
+  g.pull_decisions();
+  ListEntry entry;
+  entry.server = "C";
+  entry.cell = 1;
+  g.engine().on_list_begin(false, false);
+  g.engine().on_list_entry(entry);
+  g.engine().on_list_complete();
+  g.advance_to(620ms);
+  g.end_send("ma", SendOutcome::revoked, 0, 620ms);
+  g.receive_multiget("n", "ab", 100, 1);
+  g.receive_multiget("u", "a", 100, 0);
+  g.pull_decisions();
+  g.advance_to(700ms);
+  g.print("-- errors: a part from before the change, a part under the new settings, a non-retriable part");
+  for (const char* part : {"oa", "na", "ua"}) g.end_send(part, SendOutcome::app_error, *part == 'o' ? 1 : 0);
+  g.pull_decisions();
+  g.engine().update_settings(before);
+  g.advance_to(800ms);
+  g.print("-- back to the old settings");
+  g.pull_decisions();
+  g.advance_to(900ms);
+  g.end_send("oa", SendOutcome::returned, 2);
+  g.end_send("nb", SendOutcome::returned);
+  g.end_send("ma", SendOutcome::returned, 1);
+  g.receive_multiget("p", "a");
+  g.pull_decisions();
+  g.advance_to(950ms);
+  g.end_send("pa", SendOutcome::returned);
+  g.run_until(1700ms);
 }
 
-// A part that all its replicas have failed rests before it goes round again: sends to a server that is not
-// there fail within a millisecond, and would all be spent before it can be back.
+// A part that has failed at all its replicas waits before they are tried again. Sends to a server that does
+// not run fail within a millisecond, so all attempts would be used up before the server can be back.
 void rests() {
-  Gatherer g(ordinary_terms());
-  g.list("AB");
-  g.take("m", "a");
+  ScriptedGatherer g(default_settings());
+  g.report_list("AB");
+  g.receive_multiget("m", "a");
   for (int i = 0, send = 0; i < 100; ++i) {
-    g.at(i * 10ms);
-    if (g.decide() != "") g.ended("ma", SendOutcome::dial_failed, send++, 1ms);
+    g.advance_to(i * 10ms);
+    if (g.pull_decisions() != "") g.end_send("ma", SendOutcome::dial_failed, send++, 1ms);
   }
 }
 
-// What a cold server may be sent follows what warm ones answer for. Sends that found nobody there, many a
-// second while servers are away, say nothing of what a server carries.
+// The share of a cold server is derived from the cost that warm servers answer for. Sends that failed to
+// connect, of which there are many per second while servers are away, must not count towards it.
 void cold_share_by_answers() {
-  for (const SendOutcome fate : {SendOutcome::returned, SendOutcome::dial_failed}) {
-    FlatSettings terms = ordinary_terms();
-    terms["replicas-of-me"] = 1000.0;
-    terms["categories.0.deadline"] = 40e6;
-    terms["categories.0.objective"] = 40e6;
-    Gatherer g(terms);
+  for (const SendOutcome outcome : {SendOutcome::returned, SendOutcome::dial_failed}) {
+    FlatSettings settings = default_settings();
+    settings["replicas-of-me"] = 1000.0;
+    settings["categories.0.deadline"] = 40e6;
+    settings["categories.0.objective"] = 40e6;
+    ScriptedGatherer g(settings);
     g.quiet = true;
-    g.list("A");
+    g.report_list("A");
     for (int i = 0; i < 40; ++i) {
       const std::string name =
           std::string("m") + static_cast<char>('a' + i / 20) + static_cast<char>('a' + i % 20);
-      g.at(i * 100ms);
-      g.take(name, "a", 100, 0, 0, 40s);
-      g.decide();
-      g.ended(name + "a", fate, 0, 1ms);
+      g.advance_to(i * 100ms);
+      g.receive_multiget(name, "a", 100, 0, 0, 40s);
+      g.pull_decisions();
+      g.end_send(name + "a", outcome, 0, 1ms);
     }
-    g.list("A", ServerStatus::gone);
-    g.list("B", ServerStatus::up, 4s);
+    g.report_list("A", ServerStatus::gone);
+    g.report_list("B", ServerStatus::up, 4s);
     int sent = 0;
-    g.at(4s);
-    g.take("n", "abcd", 100, 0, 0, 40s);
-    while (g.choice().next_reply()) {
+    g.advance_to(4s);
+    g.receive_multiget("n", "abcd", 100, 0, 0, 40s);
+    while (g.engine().next_reply()) {
     }
-    while (const auto send = g.choice().next_send()) sent += plain(send->part)[0] == 'n' ? 1 : 0;
+    while (const auto send = g.engine().next_send()) sent += short_name(send->part)[0] == 'n' ? 1 : 0;
     std::printf("to a cold server, once others %s: %d\n",
-                fate == SendOutcome::returned ? "answered" : "were not there", sent);
+                outcome == SendOutcome::returned ? "answered" : "were not there", sent);
   }
 }
 
