--- a/bench/benchmarks.cpp
+++ b/bench/benchmarks.cpp
@@ -1,5 +1,6 @@
-// What the module, the parsers and the rings cost. `bench/run` runs all, and sets each beside `reference`, a
-// fixed piece of work of the same run: the ratios are what is kept and compared, since machines differ.
+// Benchmarks of the decision engine, the parsers, the ring buffer and the address selection. `bench/run` runs
+// all of them and divides each time by that of `reference`, a fixed piece of work in the same run. The ratios
+// are kept and compared, because machines differ.
 #include <benchmark/benchmark.h>
 
 #include <cstdio>
@@ -38,60 +39,61 @@
   return out;
 }
 
-// A multiget's whole life in the module: taken, placed, all parts back, answered. Items are parts.
+// A multiget in the decision engine from its arrival over placement and the return of all parts to the reply.
+// Arguments: servers in the list, parts per multiget. Items are parts.
 void module_multiget(benchmark::State& state) {
   const auto servers = static_cast<int>(state.range(0));
-  const auto pieces = static_cast<std::size_t>(state.range(1));
+  const auto part_count = static_cast<std::size_t>(state.range(1));
   scenario::Scenario s;
   s.fleet.servers = servers;
   s.fleet.cells = std::max(1, servers / 12);
   s.fleet.shards = 128;
-  s.op_types[0].parts = static_cast<int>(pieces);
-  DecisionEngine choice(scenario::terms_of(s, 0), 1);
+  s.op_types[0].parts = static_cast<int>(part_count);
+  DecisionEngine engine(scenario::terms_of(s, 0), 1);
   Duration now{};
-  choice.advance_clock(now);
-  choice.on_list_begin(true, false);
+  engine.advance_clock(now);
+  engine.on_list_begin(true, false);
   for (int i = 0; i < servers; ++i) {
-    ListEntry row;
-    row.server = "s" + std::to_string(i);
-    row.cell = i % s.fleet.cells;
-    choice.on_list_entry(row);
+    ListEntry entry;
+    entry.server = "s" + std::to_string(i);
+    entry.cell = i % s.fleet.cells;
+    engine.on_list_entry(entry);
   }
-  choice.on_list_complete();
+  engine.on_list_complete();
   std::uint32_t number = 0;
   std::vector<RequestId> sent;
   for (auto _ : state) {
     now += 10ms;
     ++number;
-    choice.advance_clock(now);
-    choice.on_multiget_received(
-        {part_id(number, 0), static_cast<double>(number), 0, 0, static_cast<int>(pieces), now + 2s});
-    for (std::size_t i = 0; i < pieces; ++i)
-      choice.on_part_received({part_id(number, i + 1), static_cast<double>(number),
-                               static_cast<int>((number + i * 3) % 128), 1.0 / static_cast<double>(pieces), 0,
-                               20ms});
-    const auto pull = [&] {
-      while (choice.next_reply()) {
+    engine.advance_clock(now);
+    engine.on_multiget_received(
+        {part_id(number, 0), static_cast<double>(number), 0, 0, static_cast<int>(part_count), now + 2s});
+    for (std::size_t i = 0; i < part_count; ++i)
+      engine.on_part_received({part_id(number, i + 1), static_cast<double>(number),
+                               static_cast<int>((number + i * 3) % 128),
+                               1.0 / static_cast<double>(part_count), 0, 20ms});
+    const auto pull_decisions = [&] {
+      while (engine.next_reply()) {
       }
-      while (choice.next_cancellation()) {
+      while (engine.next_cancellation()) {
       }
       sent.clear();
-      while (const auto send = choice.next_send()) sent.push_back(send->part);
-      while (choice.next_probe()) {
+      while (const auto send = engine.next_send()) sent.push_back(send->part);
+      while (engine.next_probe()) {
       }
-      while (choice.next_list_call()) {
+      while (engine.next_list_call()) {
       }
-      while (choice.next_wake_delay()) {
+      while (engine.next_wake_delay()) {
       }
     };
-    pull();
+    pull_decisions();
     now += 20ms;
-    choice.advance_clock(now);
+    engine.advance_clock(now);
     for (const RequestId& part : std::vector<RequestId>(sent))
-      choice.on_send_ended(part, 0, SendOutcome::returned, 20ms, {});
-    pull();
+      engine.on_send_ended(part, 0, SendOutcome::returned, 20ms, {});
+    pull_decisions();
   }
-  state.SetItemsProcessed(state.iterations() * static_cast<std::int64_t>(pieces));
+  state.SetItemsProcessed(state.iterations() * static_cast<std::int64_t>(part_count));
 }
 BENCHMARK(module_multiget)->ArgsProduct({{16, 256, 4096, 40000}, {1, 6, 64}});
 
@@ -156,7 +158,7 @@
 }
 BENCHMARK(ring);
 
-// A connection to a server of three addresses, sound ones.
+// The address selection for one connection to a server with three working addresses.
 void race(benchmark::State& state) {
   addresses::Book book({}, 1);
   book.news_opens(true);
