--- a/src/list/news.h
+++ b/src/list/news.h
@@ -8,13 +8,13 @@
 #include <vector>
 
 #include "config/commission.h"
-#include "model/plain.h"
+#include "model/types.h"
 #include "net/address.h"
 
 namespace marbledyke::list {
 
 struct Entry {
-  ListRow row;
+  ListEntry row;
   std::vector<net::Address> addresses;  // `address`, then those of the optional `addresses`
 };
 
