--- a/src/carrier/carrier.cpp
+++ b/src/carrier/carrier.cpp
@@ -65,7 +65,7 @@
     const std::string& name = entry.row.server;
     if (!databases_.contains(name)) continue;
     Server& server_state = servers_[name];
-    server_state.up = entry.row.standing == Standing::up;
+    server_state.up = entry.row.status == ServerStatus::up;
     server_state.listed = entry.addresses;
     merge_addresses(name, server_state);
     if (server_state.up) closing_servers_.on_listed_up(name);
@@ -114,7 +114,8 @@
   for (auto& [name, server_state] : servers_) {
     if (!server_state.up) {
       // The server gets no new sends, and those that wait for a connection have not run.
-      for (const SendKey& key : std::exchange(server_state.waiting, {})) finish_send(key, Fate::dial_failed);
+      for (const SendKey& key : std::exchange(server_state.waiting, {}))
+        finish_send(key, SendOutcome::dial_failed);
       emptied.push_back(name);
     }
   }
@@ -139,11 +140,11 @@
     counters_.parts += 1;
     const auto at = servers_.find(server);
     if (at == servers_.end() || !at->second.up || at->second.waiting.size() >= kMaxQueuedParts) {
-      finish_send(key, Fate::dial_failed);
+      finish_send(key, SendOutcome::dial_failed);
       continue;
     }
     if (!closing_servers_.accepts_sends(server, loop_.now())) {
-      finish_send(key, Fate::pushed_back);
+      finish_send(key, SendOutcome::pushed_back);
       continue;
     }
     pending.expiry = loop_.call_at(limit, [this, key] {
@@ -202,7 +203,7 @@
     if (!open_connection(server)) {
       // There is no descriptor or no address: the part has not run, and may go to another replica.
       waiting.erase(waiting.begin() + static_cast<std::ptrdiff_t>(--i));
-      finish_send(key, Fate::dial_failed);
+      finish_send(key, SendOutcome::dial_failed);
       continue;
     }
     open += 1;
@@ -267,7 +268,7 @@
     const SessionEvent event = connection.session->on_connection_closed();
     connection.pending.reset();
     if (event.kind == SessionEvent::Kind::answered) {
-      finish_send(key, Fate::returned, event.value);
+      finish_send(key, SendOutcome::returned, event.value);
     } else {
       finish_send(key, fate_on_disconnect(sends_.at(key).stage));
     }
@@ -283,7 +284,7 @@
   });
   if (!dead || others) return assign_waiting(server);
   // The server cannot be reached: the waiting parts have not run, and may go to another replica.
-  for (const SendKey& key : std::exchange(at->second.waiting, {})) finish_send(key, Fate::dial_failed);
+  for (const SendKey& key : std::exchange(at->second.waiting, {})) finish_send(key, SendOutcome::dial_failed);
 }
 
 void Carrier::on_connected(Connection& connection) {
@@ -315,7 +316,7 @@
   if (request.empty()) {
     // Nothing has been written. Another server of this protocol could not express the request either.
     std::string words = connection.session->unsupported_reply();
-    finish_send(key, words.empty() ? Fate::app_error : Fate::returned, std::move(words));
+    finish_send(key, words.empty() ? SendOutcome::app_error : SendOutcome::returned, std::move(words));
     return;
   }
   if (connection.idle) loop_.cancel(*connection.idle);
@@ -368,9 +369,9 @@
         const SendKey key = *connection.pending;
         connection.pending.reset();
         finish_send(key,
-                    event.kind == SessionEvent::Kind::answered  ? Fate::returned
-                    : event.kind == SessionEvent::Kind::refused ? Fate::pushed_back
-                                                                : Fate::app_error,
+                    event.kind == SessionEvent::Kind::answered  ? SendOutcome::returned
+                    : event.kind == SessionEvent::Kind::refused ? SendOutcome::pushed_back
+                                                                : SendOutcome::app_error,
                     std::move(event.value));
         if (!connection.ended) on_idle(connection);
         break;
@@ -432,7 +433,7 @@
 // ---- ends of sends ----
 
 // Ends a send. No other function reports a fate.
-void Carrier::finish_send(const SendKey& key, Fate fate, std::string value) {
+void Carrier::finish_send(const SendKey& key, SendOutcome fate, std::string value) {
   const auto at = sends_.find(key);
   if (!must_hold(at != sends_.end(), "a part on a carrier has one fate")) return;
   if (at->second.expiry) loop_.cancel(*at->second.expiry);
@@ -451,7 +452,7 @@
   finished_sends.push_back(std::move(out));
 }
 
-void Carrier::abandon_send(const SendKey& key, Fate fate) {
+void Carrier::abandon_send(const SendKey& key, SendOutcome fate) {
   PendingSend& pending = sends_.at(key);
   const auto at = connections_.find(pending.connection);
   if (pending.connection == 0 || at == connections_.end()) {
@@ -485,7 +486,7 @@
   });
 }
 
-bool Carrier::cancel_send(const Rid& part, int send) {
+bool Carrier::cancel_send(const RequestId& part, int send) {
   const auto at = sends_.find({part, send});
   if (at == sends_.end()) return false;
   abandon_send(at->first, fate_on_cancel(at->second.stage));
@@ -497,8 +498,8 @@
   out.server = server;
   const auto at = servers_.find(server);
   out.fate = at != servers_.end() && at->second.up && closing_servers_.accepts_sends(server, loop_.now())
-                 ? Fate::returned
-                 : Fate::dial_failed;
+                 ? SendOutcome::returned
+                 : SendOutcome::dial_failed;
   finished_probes.push_back(std::move(out));
 }
 
--- a/src/carrier/carrier.h
+++ b/src/carrier/carrier.h
@@ -40,7 +40,7 @@
   void apply_list_update(const list::ListUpdate& update);
   void call(const std::string& server, std::vector<servers::SendRequest> requests);
   // Returns false where the send is not pending here.
-  bool cancel_send(const Rid& part, int send);
+  bool cancel_send(const RequestId& part, int send);
   // These protocols have no load report: the result only tells whether the server accepts sends.
   void probe(const std::string& server);
   // Destroys closed connections. Not to be called within a callback of one.
@@ -61,7 +61,7 @@
     std::uint64_t connection = 0;
     std::optional<net::Loop::Timer> expiry;
   };
-  using SendKey = std::pair<Rid, int>;
+  using SendKey = std::pair<RequestId, int>;
   struct Server {
     bool up = false;
     std::vector<net::Address> listed, addresses;  // of the list; in the order of dialling
@@ -81,8 +81,8 @@
   void close(Connection& connection);
   void on_idle(Connection& connection);
   void assign_waiting(const std::string& server);
-  void finish_send(const SendKey& key, Fate fate, std::string value = {});
-  void abandon_send(const SendKey& key, Fate fate);
+  void finish_send(const SendKey& key, SendOutcome fate, std::string value = {});
+  void abandon_send(const SendKey& key, SendOutcome fate);
 
   net::Loop& loop_;
   const config::Carriage& carriage_;
--- a/src/carrier/fates.h
+++ b/src/carrier/fates.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <utility>
 
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke::carrier {
 
@@ -27,16 +27,16 @@
 
 // A part whose connection never opened, or ended before the request's last byte was written, has not run.
 // Once all of the request is written the part may have run.
-constexpr Fate fate_on_disconnect(SendStage stage) {
-  return stage == SendStage::written ? Fate::dropped : Fate::dial_failed;
+constexpr SendOutcome fate_on_disconnect(SendStage stage) {
+  return stage == SendStage::written ? SendOutcome::dropped : SendOutcome::dial_failed;
 }
 
 // A send that was never written has cost the server nothing, so it counts as unused.
-constexpr Fate fate_on_deadline(SendStage stage) {
-  return stage == SendStage::written ? Fate::expired : Fate::unused;
+constexpr SendOutcome fate_on_deadline(SendStage stage) {
+  return stage == SendStage::written ? SendOutcome::expired : SendOutcome::unused;
 }
-constexpr Fate fate_on_cancel(SendStage stage) {
-  return stage == SendStage::written ? Fate::revoked : Fate::unused;
+constexpr SendOutcome fate_on_cancel(SendStage stage) {
+  return stage == SendStage::written ? SendOutcome::revoked : SendOutcome::unused;
 }
 
 // The servers that have closed a connection in order because they stop, which is how these protocols announce
--- a/src/list/list_update.cpp
+++ b/src/list/list_update.cpp
@@ -10,10 +10,10 @@
 
 constexpr std::size_t kMaxNamedAddresses = 32;  // of one server, duplicates included
 
-Standing parse_standing(const std::string& status) {
-  if (status == "ready") return Standing::up;
-  if (status == "draining") return Standing::draining;
-  if (status == "gone") return Standing::gone;
+ServerStatus parse_status(const std::string& status) {
+  if (status == "ready") return ServerStatus::up;
+  if (status == "draining") return ServerStatus::draining;
+  if (status == "gone") return ServerStatus::gone;
   throw BadInput("status: unknown value " + status);
 }
 
@@ -36,7 +36,8 @@
   }
 }
 
-ServerEntry read_entry(const json& from, const config::Carriage& carriage, Duration unix_start, int& invalid) {
+ServerEntry read_entry(const json& from, const config::Carriage& carriage, Duration unix_start,
+                       int& invalid) {
   ServerEntry out;
   out.row.server = config::text(from, "name");
   if (out.row.server.empty()) throw BadInput("name: empty");
@@ -50,7 +51,7 @@
   const std::int64_t cell = config::whole_or(from, "group", 0);
   if (cell < 0 || cell >= carriage.cells) throw BadInput("group: out of range");
   out.row.cell = static_cast<int>(cell);
-  out.row.standing = parse_standing(config::text(from, "status"));
+  out.row.status = parse_status(config::text(from, "status"));
   out.row.size = config::number_or(from, "weight", 1);
   const std::int64_t since = config::whole_or(from, "since_ms", 0);
   if (since < 0 || since > 1'000'000'000'000'000) throw BadInput("since_ms: out of range");
--- a/src/list/list_update.h
+++ b/src/list/list_update.h
@@ -8,14 +8,14 @@
 #include <vector>
 
 #include "config/commission.h"
-#include "model/plain.h"
+#include "model/types.h"
 #include "net/address.h"
 
 namespace marbledyke::list {
 
 // One shard server of the list.
 struct ServerEntry {
-  ListRow row;
+  ListEntry row;
   std::vector<net::Address> addresses;  // the field `address`, then the optional `addresses`
 };
 
--- a/src/list/staleness.h
+++ b/src/list/staleness.h
@@ -9,7 +9,7 @@
 
 #include <algorithm>
 
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke::list {
 
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -93,7 +93,7 @@
   const Duration wait_began = now_;
   if (!timers_.empty()) {
     const Duration left =
-        clock_.machine_time(std::max(timers_.begin()->first.first - now_, Duration::zero()));
+        clock_.machine_duration(std::max(timers_.begin()->first.first - now_, Duration::zero()));
     timeout_ms = static_cast<int>(std::min<std::int64_t>((left.count() + 999) / 1000, 60'000));
   }
   std::array<epoll_event, 256> buffer;  // not a member: a handler may run a nested turn
--- a/src/servers/frames.cpp
+++ b/src/servers/frames.cpp
@@ -64,7 +64,7 @@
 
 LoadReport parse_load_report(std::string_view text, const std::vector<std::string>& fields) {
   LoadReport out;
-  if (fields.empty() || fields.size() > out.value.size()) return {};
+  if (fields.empty() || fields.size() > out.values.size()) return {};
   std::array<bool, 4> found{};
   while (!text.empty()) {
     std::string_view pair = take_until(text, ',');
@@ -72,7 +72,7 @@
     const auto value = parse_number(pair);
     for (std::size_t i = 0; value && i < fields.size(); ++i) {
       if (settings_name(fields[i]) != name) continue;
-      out.value[i] = *value;
+      out.values[i] = *value;
       found[i] = true;
     }
   }
--- a/src/servers/shard_server_pool.cpp
+++ b/src/servers/shard_server_pool.cpp
@@ -101,12 +101,12 @@
     for (const auto& [name, row] : rows_) address_book_.keep_server(name);
   }
   for (const list::ServerEntry& entry : update.entries) {
-    if (entry.row.standing == Standing::gone) {
+    if (entry.row.status == ServerStatus::gone) {
       rows_.erase(entry.row.server);
       address_book_.remove_server(entry.row.server);
     } else {
       rows_[entry.row.server] = entry.row;
-      address_book_.update_server(entry.row.server, entry.row.standing == Standing::up, entry.addresses);
+      address_book_.update_server(entry.row.server, entry.row.status == ServerStatus::up, entry.addresses);
     }
   }
   address_book_.finish_update();
@@ -127,13 +127,13 @@
   for (Connection* connection : unwanted) manage_idle(*connection);
   for (Connection* connection : failing) {
     while (!connection->sends.empty())
-      finish_send(*connection, std::string(connection->sends.begin()->first), Fate::unused);
+      finish_send(*connection, std::string(connection->sends.begin()->first), SendOutcome::unused);
     end_connection(*connection, false);
   }
   schedule_trials();
 }
 
-const ListRow* ShardServerPool::last_row(std::string_view server) const {
+const ListEntry* ShardServerPool::last_row(std::string_view server) const {
   const auto at = rows_.find(server);
   if (at == rows_.end() || at->second.zone == kNoZone || at->second.cell >= carriage_.cells) return nullptr;
   return &at->second;
@@ -150,7 +150,7 @@
 
 bool ShardServerPool::accepts_sends(std::string_view server) const {
   const auto at = rows_.find(server);
-  return at != rows_.end() && at->second.standing == Standing::up;
+  return at != rows_.end() && at->second.status == ServerStatus::up;
 }
 
 // Whether new sends may use the connection: it is responsive, and its server is up and still has the address.
@@ -169,7 +169,7 @@
     counters_.sends += batch.size();
     Connection* connection = connection_for(server, batch);
     if (connection == nullptr) {
-      for (const SendRequest& request : batch) report_result(request, Fate::dial_failed);
+      for (const SendRequest& request : batch) report_result(request, SendOutcome::dial_failed);
       continue;
     }
     Connection::QueuedFrame call{'1', {}};
@@ -177,7 +177,7 @@
       const SendKey key{request.part, request.send};
       const std::string id = request.id;
       Connection::Send send;
-      send.expiry = loop_.call_at(request.deadline, [this, key] { abandon_send(key, Fate::expired); });
+      send.expiry = loop_.call_at(request.deadline, [this, key] { abandon_send(key, SendOutcome::expired); });
       send.request = std::move(request);
       log::event(log::Level::debug, "send.taken",
                  {{"part", id},
@@ -193,14 +193,17 @@
   }
 }
 
-void ShardServerPool::cancel_send(const Rid& part, int send) { abandon_send({part, send}, Fate::revoked); }
+void ShardServerPool::cancel_send(const RequestId& part, int send) {
+  abandon_send({part, send}, SendOutcome::revoked);
+}
 
-void ShardServerPool::cancel_if_unsent(const Rid& part, int send) {
+void ShardServerPool::cancel_if_unsent(const RequestId& part, int send) {
   const auto at = pending_sends_.find({part, send});
   if (at == pending_sends_.end()) return;
   const auto [number, id] = at->second;
   Connection& connection = *connections_.at(number);
-  if (connection.sends.at(id).stage == Connection::Stage::queued) finish_send(connection, id, Fate::unused);
+  if (connection.sends.at(id).stage == Connection::Stage::queued)
+    finish_send(connection, id, SendOutcome::unused);
   manage_idle(connection);
 }
 
@@ -209,7 +212,7 @@
   counters_.probes += 1;
   Connection* connection = connection_for(server, {});
   if (connection == nullptr || connection->probing) {
-    finished_probes.push_back({server, Fate::dial_failed, 0s, {}});
+    finished_probes.push_back({server, SendOutcome::dial_failed, 0s, {}});
     return;
   }
   connection->probing = true;
@@ -221,7 +224,7 @@
     if (at == connections_.end()) return;
     at->second->probe_expiry.reset();
     check_silence(*at->second, at->second->probe_at);
-    finish_probe(*at->second, Fate::expired);
+    finish_probe(*at->second, SendOutcome::expired);
     manage_idle(*at->second);
   });
   connection->queued_frames.push_back({'4', {}});
@@ -535,7 +538,7 @@
         const auto send = connection.sends.find(id);
         if (send == connection.sends.end()) return true;
         if (server_accepts && loop_.now() < send->second.request.start_deadline) return false;
-        finish_send(connection, id, Fate::unused);
+        finish_send(connection, id, SendOutcome::unused);
         return true;
       });
       for (const std::string& id : connection.writing.ids) {
@@ -639,17 +642,18 @@
       counters_.odd_frames += 1;
       return close(connection, "answer for a part that is not pending");
     }
-    const Fate fate = answer->outcome == 'S'   ? Fate::returned
-                      : answer->outcome == 'E' ? Fate::app_error
-                                               : Fate::pushed_back;
+    const SendOutcome fate = answer->outcome == 'S'   ? SendOutcome::returned
+                             : answer->outcome == 'E' ? SendOutcome::app_error
+                                                      : SendOutcome::pushed_back;
     const std::string id = answer->id;
     finish_send(connection, id, fate, std::move(*answer));
     manage_idle(connection);
   } else if (frame.type == '4' && connection.probing && connection.probe_written) {
     if (frame.payload == "E") {
-      finish_probe(connection, Fate::app_error);
+      finish_probe(connection, SendOutcome::app_error);
     } else {
-      finish_probe(connection, Fate::returned, parse_load_report(frame.payload, carriage_.report_fields));
+      finish_probe(connection, SendOutcome::returned,
+                   parse_load_report(frame.payload, carriage_.report_fields));
     }
     manage_idle(connection);
   } else if (frame.type == 'X') {
@@ -662,7 +666,7 @@
 }
 
 // Ends a send that is pending on this connection.
-void ShardServerPool::finish_send(Connection& connection, const std::string& id, Fate fate,
+void ShardServerPool::finish_send(Connection& connection, const std::string& id, SendOutcome fate,
                                   PartAnswer answer) {
   const auto at = connection.sends.find(id);
   Connection::Send send = std::move(at->second);
@@ -674,30 +678,30 @@
   report_result(send.request, fate, std::move(answer));
 }
 
-void ShardServerPool::report_result(const SendRequest& request, Fate fate, PartAnswer answer) {
+void ShardServerPool::report_result(const SendRequest& request, SendOutcome fate, PartAnswer answer) {
   static constexpr std::array<const char*, 8> kNames{"returned",    "app_error", "pushed_back", "expired",
                                                      "dial_failed", "dropped",   "revoked",     "unused"};
-  if (fate != Fate::returned)
+  if (fate != SendOutcome::returned)
     log::event(log::Level::debug, "send.ended",
                {{"part", request.id},
                 {"send", request.send},
                 {"fate", kNames[static_cast<std::size_t>(fate)]},
                 {"after_ms", (loop_.now() - request.issued_at) / 1ms}});
-  counters_.dial_failed += fate == Fate::dial_failed ? 1 : 0;
-  counters_.dropped += fate == Fate::dropped ? 1 : 0;
-  counters_.expired += fate == Fate::expired ? 1 : 0;
+  counters_.dial_failed += fate == SendOutcome::dial_failed ? 1 : 0;
+  counters_.dropped += fate == SendOutcome::dropped ? 1 : 0;
+  counters_.expired += fate == SendOutcome::expired ? 1 : 0;
   finished_sends.push_back({request.part, request.send, fate, loop_.now() - request.issued_at, answer.report,
                             answer.score, std::move(answer.value)});
 }
 
-void ShardServerPool::abandon_send(const SendKey& key, Fate fate) {
+void ShardServerPool::abandon_send(const SendKey& key, SendOutcome fate) {
   const auto at = pending_sends_.find(key);
   if (at == pending_sends_.end()) return;
   const auto [number, id] = at->second;
   Connection& connection = *connections_.at(number);
   Connection::Send& send = connection.sends.at(id);
   if (send.stage == Connection::Stage::queued) {
-    finish_send(connection, id, Fate::unused);  // never written
+    finish_send(connection, id, SendOutcome::unused);  // never written
   } else if (send.stage == Connection::Stage::writing) {
     loop_.cancel(send.expiry);
     pending_sends_.erase(at);
@@ -728,7 +732,7 @@
   }
 }
 
-void ShardServerPool::finish_probe(Connection& connection, Fate fate, LoadReport report) {
+void ShardServerPool::finish_probe(Connection& connection, SendOutcome fate, LoadReport report) {
   if (!connection.probing) return;
   connection.probing = false;
   if (connection.probe_expiry) loop_.cancel(*connection.probe_expiry);
@@ -787,9 +791,9 @@
   while (!connection.sends.empty()) {
     const auto& [id, send] = *connection.sends.begin();
     finish_send(connection, std::string(id),
-                send.stage == Connection::Stage::written ? Fate::dropped : Fate::dial_failed);
+                send.stage == Connection::Stage::written ? SendOutcome::dropped : SendOutcome::dial_failed);
   }
-  finish_probe(connection, connection.probe_written ? Fate::dropped : Fate::dial_failed);
+  finish_probe(connection, connection.probe_written ? SendOutcome::dropped : SendOutcome::dial_failed);
   const auto at = connections_.find(connection.number);
   if (at == connections_.end()) return;
   closed_connections_.push_back(std::move(at->second));
--- a/src/servers/shard_server_pool.h
+++ b/src/servers/shard_server_pool.h
@@ -24,7 +24,7 @@
 
 // A send to be carried out: one attempt of a part.
 struct SendRequest {
-  Rid part;
+  RequestId part;
   int send = 0;
   std::string id;  // the part's id on the wire
   int shard = 0;
@@ -38,9 +38,9 @@
 
 // How a send ended.
 struct SendResult {
-  Rid part;
+  RequestId part;
   int send = 0;
-  Fate fate = Fate::unused;
+  SendOutcome fate = SendOutcome::unused;
   Duration elapsed{};  // since it was issued
   LoadReport report;
   double score = 0;
@@ -50,7 +50,7 @@
 // How a probe of a server's load ended.
 struct ProbeResult {
   std::string server;
-  Fate fate = Fate::unused;
+  SendOutcome fate = SendOutcome::unused;
   Duration elapsed{};
   LoadReport report;
 };
@@ -76,15 +76,15 @@
   void apply_list_update(const list::ListUpdate& update);
   // Returns the last list row of a listed server; null for an unknown server, or where the present settings
   // lack the row's zone or cell.
-  const ListRow* last_row(std::string_view server) const;
+  const ListEntry* last_row(std::string_view server) const;
   // Renumbers the zones of the rows by name, before the settings change to other zones.
   void renumber_zones(const std::vector<std::string>& from, const std::vector<std::string>& to);
   // Sends one turn's sends to one server, in as few calls as the limit of parts in a call permits.
   void call(const std::string& server, std::vector<SendRequest> requests);
   // Ends a send as revoked, or as unused where it has not been written.
-  void cancel_send(const Rid& part, int send);
+  void cancel_send(const RequestId& part, int send);
   // Ends a send as unused where nothing of it has been written; otherwise leaves it as it is.
-  void cancel_if_unsent(const Rid& part, int send);
+  void cancel_if_unsent(const RequestId& part, int send);
   // Asks a server for its load report.
   void probe(const std::string& server);
 
@@ -106,7 +106,7 @@
   struct Connection;
   struct Candidate;
   struct Trial;
-  using SendKey = std::pair<Rid, int>;
+  using SendKey = std::pair<RequestId, int>;
 
   Connection* connection_for(const std::string& server, const std::vector<SendRequest>& requests);
   Connection* open_connection(const std::string& server);
@@ -127,10 +127,10 @@
   void on_frame(Connection& connection, Frame& frame);
   void end_connection(Connection& connection, bool connected);
   void close(Connection& connection, const char* reason);
-  void finish_send(Connection& connection, const std::string& id, Fate fate, PartAnswer answer = {});
-  void report_result(const SendRequest& request, Fate fate, PartAnswer answer = {});
-  void abandon_send(const SendKey& key, Fate fate);
-  void finish_probe(Connection& connection, Fate fate, LoadReport report = {});
+  void finish_send(Connection& connection, const std::string& id, SendOutcome fate, PartAnswer answer = {});
+  void report_result(const SendRequest& request, SendOutcome fate, PartAnswer answer = {});
+  void abandon_send(const SendKey& key, SendOutcome fate);
+  void finish_probe(Connection& connection, SendOutcome fate, LoadReport report = {});
   void check_silence(Connection& connection, Duration since);
   void manage_idle(Connection& connection);
   bool accepts_sends(std::string_view server) const;  // listed as up
@@ -142,7 +142,7 @@
   const config::Carriage& carriage_;
   std::function<bool()> make_room_;
   addresses::AddressBook address_book_;
-  std::map<std::string, ListRow, std::less<>> rows_;                  // the listed servers, up or draining
+  std::map<std::string, ListEntry, std::less<>> rows_;                // the listed servers, up or draining
   std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;  // by number, so in order of opening
   std::map<std::uint64_t, std::unique_ptr<Trial>> trials_;
   std::optional<net::Loop::Timer> trial_timer_;
--- a/tests/parser_traces.cpp
+++ b/tests/parser_traces.cpp
@@ -185,7 +185,7 @@
     std::printf("%s %c %.0f '%s'", a->id.c_str(), a->outcome, a->score, shown(a->value).c_str());
     if (a->report.count == 0) std::printf(", no report");
     for (int i = 0; i < a->report.count; ++i)
-      std::printf(" %g", a->report.value[static_cast<std::size_t>(i)]);
+      std::printf(" %g", a->report.values[static_cast<std::size_t>(i)]);
     std::printf("\n");
   };
   sample("m.3 S 1840277719 util=0.61,qps=4,queue=2\nvalue\nof two lines");
@@ -290,7 +290,7 @@
                   n.is_snapshot ? ", whole" : "", n.skipped_entries);
       for (const list::ServerEntry& e : n.entries) {
         std::printf("; %s zone %d cell %d standing %d size %g started ", e.row.server.c_str(), e.row.zone,
-                    e.row.cell, static_cast<int>(e.row.standing), e.row.size);
+                    e.row.cell, static_cast<int>(e.row.status), e.row.size);
         e.row.started ? std::printf("%lld", static_cast<long long>(e.row.started->count()))
                       : std::printf("-");
       }
