--- a/src/emulator/keepers.cpp
+++ b/src/emulator/keepers.cpp
@@ -3,55 +3,55 @@
 namespace marbledyke::emulator {
 
 using namespace std::chrono_literals;
-using keeper::Act;
-using keeper::Kept;
-using keeper::Life;
-using keeper::Minder;
+using keeper::Action;
+using keeper::KeeperState;
+using keeper::ProcessState;
+using keeper::Supervisor;
 
 namespace {
 constexpr Span kWallAtStart = 1'700'000'000s;
 }
 
-EmulatedKeeper::EmulatedKeeper(const keeper::Policy& policy, std::map<std::string, EmulatedVersion> versions,
-                               std::uint32_t seed)
+EmulatedKeeper::EmulatedKeeper(const keeper::SupervisorPolicy& policy,
+                               std::map<std::string, EmulatedVersion> versions, std::uint32_t seed)
     : policy_(policy), versions_(std::move(versions)), chance_(seed) {
   start_keeper();
 }
 
-keeper::VersionFacts EmulatedKeeper::facts(const std::string& version) const {
+keeper::VersionInfo EmulatedKeeper::facts(const std::string& version) const {
   const auto at = versions_.find(version);
-  return at == versions_.end() ? keeper::VersionFacts{} : at->second.facts;
+  return at == versions_.end() ? keeper::VersionInfo{} : at->second.facts;
 }
 
 void EmulatedKeeper::start_keeper() {
-  if (minder_) return;
+  if (supervisor_) return;
   paused_ = false;
-  Kept kept = disk_;
-  minder_ = std::make_unique<Minder>(policy_, kept, own_, kWallAtStart + now_, 0.0);
+  KeeperState kept = disk_;
+  supervisor_ = std::make_unique<Supervisor>(policy_, kept, own_, kWallAtStart + now_, 0.0);
   for (int slot = 0; slot < keeper::kSlots; ++slot) {
     const auto& process = processes_[static_cast<std::size_t>(slot)];
-    if (process) minder_->adopted(slot, process->settings, facts(process->version));
+    if (process) supervisor_->on_process_adopted(slot, process->settings, facts(process->version));
   }
   ended_while_paused_.clear();
-  minder_->resume(facts(kept.in_force), facts(kept.former),
-                  kept.order && versions_.contains(kept.order->version));
+  supervisor_->resume(facts(kept.in_force), facts(kept.former),
+                      kept.order && versions_.contains(kept.order->version));
   carry_out();
 }
 
 void EmulatedKeeper::kill_keeper() {
-  minder_.reset();
+  supervisor_.reset();
   ended_while_paused_.clear();
   kill_at_ = -1;
 }
 
-std::optional<keeper::Verdict> EmulatedKeeper::order(const keeper::Order& order) {
-  if (!minder_ || paused_) return std::nullopt;
-  const keeper::Verdict verdict = minder_->considers(order, versions_.contains(order.version));
-  if (verdict == keeper::Verdict::taken) {
-    if (disk_full_) return keeper::Verdict::not_kept;
-    const Kept kept = Minder::with(minder_->kept(), order, kWallAtStart + now_);
+std::optional<keeper::OrderVerdict> EmulatedKeeper::order(const keeper::Order& order) {
+  if (!supervisor_ || paused_) return std::nullopt;
+  const keeper::OrderVerdict verdict = supervisor_->evaluate(order, versions_.contains(order.version));
+  if (verdict == keeper::OrderVerdict::accepted) {
+    if (disk_full_) return keeper::OrderVerdict::not_persisted;
+    const KeeperState kept = Supervisor::state_with(supervisor_->state(), order, kWallAtStart + now_);
     disk_ = kept;
-    minder_->take(order, kept, facts(kept.in_force), facts(kept.former));
+    supervisor_->accept(order, kept, facts(kept.in_force), facts(kept.former));
     carry_out();
   }
   return verdict;
@@ -73,12 +73,12 @@
 void EmulatedKeeper::end(int slot, const std::string& how) {
   processes_[static_cast<std::size_t>(slot)].reset();
   if (processes_told.ended) processes_told.ended(slot);
-  if (!minder_) return;
+  if (!supervisor_) return;
   if (paused_) {
     ended_while_paused_.emplace_back(slot, how);
     return;
   }
-  minder_->ended(slot, how);
+  supervisor_->on_process_exited(slot, how);
   carry_out();
 }
 
@@ -102,64 +102,64 @@
 }
 
 void EmulatedKeeper::carry_out() {
-  while (minder_) {
+  while (supervisor_) {
     if (kill_at_ == 0) {
       say("the keeper is killed");
       return kill_keeper();
     }
-    const auto act = minder_->next();
-    if (!act) return;
+    const auto action = supervisor_->next_action();
+    if (!action) return;
     if (kill_at_ > 0) --kill_at_;
-    auto& process = processes_[static_cast<std::size_t>(act->slot)];
-    switch (act->what) {
-      case Act::What::keep:
-        if (!disk_full_) disk_ = minder_->kept();
-        minder_->kept_written(!disk_full_);
+    auto& process = processes_[static_cast<std::size_t>(action->slot)];
+    switch (action->type) {
+      case Action::Type::persist_state:
+        if (!disk_full_) disk_ = supervisor_->state();
+        supervisor_->on_state_written(!disk_full_);
         break;
-      case Act::What::link:
-        if (act->version != linked_ && disk_full_) {
-          minder_->not_linked("no space");
+      case Action::Type::link_version:
+        if (action->version != linked_ && disk_full_) {
+          supervisor_->on_link_failed("no space");
           break;
         }
-        minder_->linked();
-        if (act->version == linked_) break;
-        linked_ = act->version;
-        say("link " + act->version);
+        supervisor_->on_version_linked();
+        if (action->version == linked_) break;
+        linked_ = action->version;
+        say("link " + action->version);
         break;
-      case Act::What::begin: {
+      case Action::Type::start_process: {
         if (process) {
           broken_ = "a second process in one slot";
           break;
         }
-        if (!versions_.contains(act->version)) {
-          minder_->not_begun(act->slot, "no such version");
+        if (!versions_.contains(action->version)) {
+          supervisor_->on_start_failed(action->slot, "no such version");
           break;
         }
-        say("begin " + act->version + " in " + std::to_string(act->slot));
-        process = Process{act->version, linked_, now_, false, false, false, std::nullopt, false, 0};
-        minder_->began(act->slot, facts(act->version));
-        if (linked_ != act->version) broken_ = "begun under another version's settings";
+        say("begin " + action->version + " in " + std::to_string(action->slot));
+        process = Process{action->version, linked_, now_, false, false, false, std::nullopt, false, 0};
+        supervisor_->on_process_started(action->slot, facts(action->version));
+        if (linked_ != action->version) broken_ = "begun under another version's settings";
         break;
       }
-      case Act::What::label:
+      case Action::Type::record_version:
         break;
-      case Act::What::hup:
-        say("hup " + std::to_string(act->slot));
+      case Action::Type::reload:
+        say("hup " + std::to_string(action->slot));
         if (process) process->read_pending = true;
         break;
-      case Act::What::term:
-        say("term " + std::to_string(act->slot));
+      case Action::Type::terminate:
+        say("term " + std::to_string(action->slot));
         if (process && of(process->version).behaviour.heeds_term && !process->stops_at) {
           process->stops_at = now_ + of(process->version).behaviour.stop_takes;
-          if (processes_told.leaves) processes_told.leaves(act->slot);
+          if (processes_told.leaves) processes_told.leaves(action->slot);
         }
         break;
-      case Act::What::kill:
-        say("kill " + std::to_string(act->slot));
-        if (process) end(act->slot, "signal");
+      case Action::Type::kill:
+        say("kill " + std::to_string(action->slot));
+        if (process) end(action->slot, "signal");
         break;
-      case Act::What::note:
-        say("note " + act->version + ": " + act->why);
+      case Action::Type::log:
+        say("note " + action->version + ": " + action->message);
         break;
     }
   }
@@ -169,11 +169,11 @@
   now_ += kKeeperStep;
   own_ += Span(static_cast<std::int64_t>(static_cast<double>(kKeeperStep.count()) * rate_));
   if (serves()) served_ += kKeeperStep;
-  const bool hears = minder_ && !paused_;
+  const bool hears = supervisor_ && !paused_;
   if (hears) {
-    minder_->tick(own_, kWallAtStart + now_);
+    supervisor_->tick(own_, kWallAtStart + now_);
     for (const auto& [slot, how] : std::exchange(ended_while_paused_, {})) {
-      if (minder_) minder_->ended(slot, how);
+      if (supervisor_) supervisor_->on_process_exited(slot, how);
       carry_out();
     }
     carry_out();
@@ -203,40 +203,41 @@
       process->serving = true;
       if (processes_told.serves) processes_told.serves(slot);
     }
-    if (!minder_ || paused_ || hangs) continue;
+    if (!supervisor_ || paused_ || hangs) continue;
     if (process->serving && !process->said) {
       process->said = true;
-      minder_->serves(slot);
+      supervisor_->on_process_serving(slot);
       carry_out();
-      if (!process || !minder_) continue;
+      if (!process || !supervisor_) continue;
     }
     if (process->serving && process->read_pending) {
       process->read_pending = false;
       const Behaviour& next = of(linked_).behaviour;
       if (next.refuses_settings) {
-        minder_->read_said(slot, false, false, "refused");
+        supervisor_->on_reload_result(slot, false, false, "refused");
       } else {
         process->settings = linked_;
-        minder_->read_said(slot, true, next.needs_start, "a key");
+        supervisor_->on_reload_result(slot, true, next.needs_start, "a key");
       }
       carry_out();
-      if (!process || !minder_) continue;
+      if (!process || !supervisor_) continue;
     }
     if (window && process->serving) {
       const bool mute = b.mute_after && age >= *b.mute_after;
-      minder_->heard(slot, {facts(process->settings).configuration, 10, mute ? 0U : 10U, mute ? 10U : 0U});
+      supervisor_->on_window_report(
+          slot, {facts(process->settings).configuration, 10, mute ? 0U : 10U, mute ? 10U : 0U});
       carry_out();
     }
   }
-  if (minder_ && !paused_) {
+  if (supervisor_ && !paused_) {
     bool healthy = false;
     for (const auto& process : processes_) {
       if (!process || !process->serving) continue;
       const Behaviour& b = of(process->settings).behaviour;
       healthy = healthy || (!process->frozen && (!b.hangs_after || now_ - process->begun < *b.hangs_after));
     }
-    minder_->health(healthy);
-    if (minder_->impossible() > 0) broken_ = "an event came that cannot come";
+    supervisor_->on_health_result(healthy);
+    if (supervisor_->unexpected_events() > 0) broken_ = "an event came that cannot come";
   }
   if (processes() > keeper::kSlots) broken_ = "more than two processes";
 }
--- a/src/emulator/keepers.h
+++ b/src/emulator/keepers.h
@@ -1,6 +1,6 @@
-// A keeper and its processes in virtual time: the shipped decisions (keeper::Minder, keeper::judge) over
-// processes that behave as their version says, a disk that may be full, and a keeper that is killed, paused
-// and started again. No sockets, no files; steps of 50 ms, so that a thousand of them are cheap.
+// A keeper and its processes in virtual time: the shipped decisions (keeper::Supervisor, keeper::check_order)
+// over processes that behave as their version says, a disk that may be full, and a keeper that is killed,
+// paused and started again. No sockets, no files; steps of 50 ms, so that a thousand of them are cheap.
 #pragma once
 
 #include <array>
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "keeper/minder.h"
+#include "keeper/supervisor.h"
 
 namespace marbledyke::emulator {
 
@@ -32,7 +32,7 @@
 };
 
 struct EmulatedVersion {
-  keeper::VersionFacts facts;
+  keeper::VersionInfo facts;
   Behaviour behaviour;
 };
 
@@ -46,11 +46,11 @@
     std::function<void(int slot)> ended;
   };
 
-  EmulatedKeeper(const keeper::Policy& policy, std::map<std::string, EmulatedVersion> versions,
+  EmulatedKeeper(const keeper::SupervisorPolicy& policy, std::map<std::string, EmulatedVersion> versions,
                  std::uint32_t seed);
 
   // What an order is answered; none where the keeper is dead or paused.
-  std::optional<keeper::Verdict> order(const keeper::Order& order);
+  std::optional<keeper::OrderVerdict> order(const keeper::Order& order);
   void step();  // kKeeperStep passes
 
   void kill_keeper();   // at once; what it had decided and not carried out is lost
@@ -64,9 +64,9 @@
   void kill_at_act(int n) { kill_at_ = n; }
 
   Span now() const { return now_; }
-  bool keeper_alive() const { return minder_ != nullptr; }
-  const keeper::Minder* minder() const { return minder_.get(); }
-  const keeper::Kept& kept() const { return disk_; }  // as it is on the disk
+  bool keeper_alive() const { return supervisor_ != nullptr; }
+  const keeper::Supervisor* supervisor() const { return supervisor_.get(); }
+  const keeper::KeeperState& kept() const { return disk_; }  // as it is on the disk
   const std::string& linked() const { return linked_; }
   bool serves() const;  // somebody takes multigets and ends them
   int processes() const;
@@ -100,16 +100,16 @@
   }
   void end(int slot, const std::string& how);
   const EmulatedVersion& of(const std::string& version) const { return versions_.at(version); }
-  keeper::VersionFacts facts(const std::string& version) const;
+  keeper::VersionInfo facts(const std::string& version) const;
 
-  keeper::Policy policy_;
+  keeper::SupervisorPolicy policy_;
   std::map<std::string, EmulatedVersion> versions_;
   std::mt19937 chance_;
   double rate_ = 1;
   Span now_{}, own_{}, next_window_{};  // own: the keeper's clock
   std::array<std::optional<Process>, keeper::kSlots> processes_;
-  std::unique_ptr<keeper::Minder> minder_;
-  keeper::Kept disk_;
+  std::unique_ptr<keeper::Supervisor> supervisor_;
+  keeper::KeeperState disk_;
   std::string linked_;
   bool paused_ = false, disk_full_ = false;
   int kill_at_ = -1;
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -172,15 +172,15 @@
 constexpr Span kPausedLook = 20ms;
 
 // As the lab starts keepers of staged scenarios (lab::Kept).
-keeper::Policy kept_policy() {
-  keeper::Policy out;
-  out.prove = 300ms;
-  out.prove_limit = 5s;
-  out.start_limit = 5s;
-  out.first_wait = 50ms;
-  out.longest_wait = 1s;
-  out.most_strikes = 30;
-  out.silent_after = 6s;
+keeper::SupervisorPolicy kept_policy() {
+  keeper::SupervisorPolicy out;
+  out.proving_period = 300ms;
+  out.proving_timeout = 5s;
+  out.start_timeout = 5s;
+  out.initial_backoff = 50ms;
+  out.max_backoff = 1s;
+  out.max_crash_score = 30;
+  out.silence_timeout = 6s;
   return out;
 }
 
@@ -1245,7 +1245,7 @@
     keeper::Order order;
     order.epoch = 1;
     order.number = ++machine.orders;
-    order.kind = keeper::Kind::use;
+    order.kind = keeper::OrderKind::use;
     order.version = version;
     machine.keeper->order(order);
   }
--- a/src/explore/rollout_world.cpp
+++ b/src/explore/rollout_world.cpp
@@ -1,14 +1,14 @@
 // A rolling change in the small: the shipped conductor (rollout::Conductor), up to two of them, over two or
-// three keepers that judge orders by the shipped keeper::judge and keep them by keeper::Minder::with, orders
-// that are lost, repeated and overtaken on their way, reports that come late, a conductor that is killed or
-// paused, and a successor with or without what it kept. A process of a keeper comes up or does not; how it
-// does that is keeper::Minder's own table.
+// three keepers that judge orders by the shipped keeper::check_order and keep them by
+// keeper::Supervisor::state_with, orders that are lost, repeated and overtaken on their way, reports that
+// come late, a conductor that is killed or paused, and a successor with or without what it kept. A process of
+// a keeper comes up or does not; how it does that is keeper::Supervisor's own table.
 #include <algorithm>
 #include <array>
 #include <cstdlib>
 
 #include "explore/worlds.h"
-#include "keeper/minder.h"
+#include "keeper/supervisor.h"
 #include "rollout/conductor.h"
 
 namespace marbledyke::explore {
@@ -81,7 +81,7 @@
 int count() { return static_cast<int>(members().size()); }
 
 struct Keeper {
-  keeper::Kept kept;
+  keeper::KeeperState kept;
   bool reachable = true;
   int uses = 0;  // times that the new version was begun there, since it was last taken back
   std::uint64_t highest = 0;
@@ -104,7 +104,7 @@
     for (Keeper& one : keepers_) {
       one.kept.in_force = kOld;
       one.kept.outcome = Outcome::done;
-      one.kept.wanted = true;
+      one.kept.should_run = true;
     }
     take_over(true);
   }
@@ -153,7 +153,7 @@
     if (in(kRepeated, kMostOrders)) return on_way(kRepeated) && left_.may(left_.repeats);
     if (in(kComesUp, kKeepers))
       return it(kComesUp).kept.outcome == Outcome::under_way ||
-             it(kComesUp).kept.outcome == Outcome::returning;
+             it(kComesUp).kept.outcome == Outcome::rolling_back;
     if (in(kFails, kKeepers))
       return it(kFails).kept.outcome == Outcome::under_way && it(kFails).kept.in_force == kNew &&
              left_.may(left_.failures);
@@ -210,7 +210,8 @@
       now_ += kStep;
       for (OnItsWay& one : orders_) one.age = std::min(one.age + 1, kMostSteps);
       for (Keeper& one : keepers_) {
-        const bool at_it = one.kept.outcome == Outcome::under_way || one.kept.outcome == Outcome::returning;
+        const bool at_it =
+            one.kept.outcome == Outcome::under_way || one.kept.outcome == Outcome::rolling_back;
         one.busy = at_it ? one.busy + 1 : 0;
         one.cut = one.reachable ? 0 : std::min(one.cut + 1, 3);
       }
@@ -226,10 +227,10 @@
       left_.take(left_.repeats);
       arrives(OnItsWay(orders_[number(kRepeated)]));
     } else if (in(kComesUp, kKeepers)) {
-      keeper::Kept& kept = it(kComesUp).kept;
-      const bool back = kept.outcome == Outcome::returning;
+      keeper::KeeperState& kept = it(kComesUp).kept;
+      const bool back = kept.outcome == Outcome::rolling_back;
       const bool trial = !back && kept.order && kept.order->trial > Span::zero();
-      kept.outcome = back ? Outcome::back : trial ? Outcome::on_trial : Outcome::done;
+      kept.outcome = back ? Outcome::rolled_back : trial ? Outcome::on_trial : Outcome::done;
       it(kComesUp).busy = 0;
     } else if (in(kFails, kKeepers)) {
       left_.take(left_.failures);
@@ -277,10 +278,10 @@
                       (former_ && left_.turns_of_the_former > 0 ? former_->line(kHorizon) : "") + '|' +
                       put(disk_).dump();
     for (const Keeper& one : keepers_)
-      out += "|" + keeper::put(one.kept) + (one.reachable ? "r" : "c") + std::to_string(one.uses) + "," +
-             std::to_string(one.highest) + "," + std::to_string(one.busy) + std::to_string(one.cut);
+      out += "|" + keeper::serialize(one.kept) + (one.reachable ? "r" : "c") + std::to_string(one.uses) +
+             "," + std::to_string(one.highest) + "," + std::to_string(one.busy) + std::to_string(one.cut);
     for (const OnItsWay& one : orders_)
-      out += "|" + std::to_string(one.to) + keeper::put(one.order).dump() + std::to_string(one.age) +
+      out += "|" + std::to_string(one.to) + keeper::to_json(one.order).dump() + std::to_string(one.age) +
              (one.held ? "h" : "");
     if (late_)
       out += "|late " + std::to_string(late_->first) + late_->second.in_force + late_->second.former +
@@ -389,7 +390,7 @@
     out.to = act.keeper[1] - '0';
     out.order.epoch = conductor.kept().epoch;
     out.order.number = act.number;
-    out.order.kind = act.what == What::confirm ? keeper::Kind::confirm : keeper::Kind::use;
+    out.order.kind = act.what == What::confirm ? keeper::OrderKind::confirm : keeper::OrderKind::use;
     if (act.what != What::confirm) out.order.version = act.version;
     if (act.what == What::use) {
       out.order.trial = 60s;
@@ -401,7 +402,7 @@
 
   void goes_back(Keeper& one) {
     one.kept.in_force = one.kept.former;
-    one.kept.outcome = Outcome::returning;
+    one.kept.outcome = Outcome::rolling_back;
     one.busy = 0;
     one.uses = 0;
   }
@@ -409,22 +410,22 @@
   void arrives(const OnItsWay& what) {
     Keeper& one = keepers_[static_cast<std::size_t>(what.to)];
     if (!one.reachable) return;
-    keeper::Verdict verdict = keeper::judge(what.order, one.kept, kWall, true);
-    const bool idle = one.kept.outcome != Outcome::under_way && one.kept.outcome != Outcome::returning;
-    if (plant_ == "keepers take any epoch" && verdict == keeper::Verdict::old_epoch && idle)
-      verdict = keeper::Verdict::taken;
-    if (plant_ == "keepers take an order twice" && verdict == keeper::Verdict::repeated && idle)
-      verdict = keeper::Verdict::taken;
-    if (verdict != keeper::Verdict::taken) return;
+    keeper::OrderVerdict verdict = keeper::check_order(what.order, one.kept, kWall, true);
+    const bool idle = one.kept.outcome != Outcome::under_way && one.kept.outcome != Outcome::rolling_back;
+    if (plant_ == "keepers take any epoch" && verdict == keeper::OrderVerdict::old_epoch && idle)
+      verdict = keeper::OrderVerdict::accepted;
+    if (plant_ == "keepers take an order twice" && verdict == keeper::OrderVerdict::repeated && idle)
+      verdict = keeper::OrderVerdict::accepted;
+    if (verdict != keeper::OrderVerdict::accepted) return;
     if (what.order.epoch < one.highest) broken_ = "an order of a former epoch was taken";
     one.highest = std::max(one.highest, what.order.epoch);
     const bool anew =
-        what.order.kind == keeper::Kind::use && what.order.version == kNew && one.kept.in_force != kNew;
+        what.order.kind == keeper::OrderKind::use && what.order.version == kNew && one.kept.in_force != kNew;
     const bool again =
-        what.order.kind == keeper::Kind::use && what.order.version == kNew && one.kept.in_force == kNew;
-    one.kept = keeper::Minder::with(one.kept, what.order, kWall);
-    if (what.order.kind == keeper::Kind::confirm) one.kept.outcome = Outcome::done;
-    if (what.order.kind == keeper::Kind::use && what.order.version == kOld) one.uses = 0;
+        what.order.kind == keeper::OrderKind::use && what.order.version == kNew && one.kept.in_force == kNew;
+    one.kept = keeper::Supervisor::state_with(one.kept, what.order, kWall);
+    if (what.order.kind == keeper::OrderKind::confirm) one.kept.outcome = Outcome::done;
+    if (what.order.kind == keeper::OrderKind::use && what.order.version == kOld) one.uses = 0;
     if (again) broken_ = "a step was repeated at k" + std::to_string(what.to);
     if (!anew) return;
     one.uses += 1;
--- a/src/keeper/keeper.cpp
+++ b/src/keeper/keeper.cpp
@@ -72,26 +72,26 @@
   versions_.open();
   since_ms_ = loop_.clock().wall() / 1ms;
 
-  Kept kept;
+  KeeperState kept;
   bool known = false;
-  const std::string state = options_.folder + "/state";
+  const std::string state_path = options_.folder + "/state";
   try {
-    const auto text = disk_.read_file(state, kMostState);
+    const auto text = disk_.read_file(state_path, kMostState);
     known = text.has_value();
-    if (text) kept = read_kept(*text);
+    if (text) kept = parse_state(*text);
   } catch (const std::exception& wrong) {
     // Set aside, not overwritten; what is linked counts as in force.
     known = false;
     state_wrong_ = wrong.what();
     log::event(log::Level::error, "keeper.state_not_usable", {{"why", state_wrong_}});
-    disk_.rename(state, state + ".damaged");
+    disk_.rename(state_path, state_path + ".damaged");
   }
   if (kept.in_force.empty()) kept.in_force = versions_.linked().value_or("");
   if (!versions_.has(kept.in_force)) {
     if (!kept.in_force.empty())
       log::event(log::Level::error, "keeper.version_not_there", {{"version", kept.in_force}});
     kept.in_force.clear();
-    kept.wanted = false;
+    kept.should_run = false;
   }
 
   std::optional<Born> found[kSlots];
@@ -100,33 +100,33 @@
         loop_, options_.folder, i,
         Child::Told{[this, i](const std::string& how) {
                       log::event(log::Level::info, "gatherer.ended", {{"slot", i}, {"how", how}});
-                      minder_->tick(loop_.now(), loop_.clock().wall());
+                      supervisor_->tick(loop_.now(), loop_.clock().wall());
                       // What it is started again with is settled first.
                       tell_settings_ended(i, how);
-                      minder_->ended(i, how);
+                      supervisor_->on_process_exited(i, how);
                       carry_out();
                     },
                     [this, i](const std::string& text) { line(i, text); }});
     found[i] = slots_[i].child->adopt();
     // State that was lost says nothing about what is wanted; that one runs does.
-    if (found[i] && !known) kept.wanted = true;
+    if (found[i] && !known) kept.should_run = true;
   }
-  minder_ = std::make_unique<Minder>(options_.policy, kept, loop_.now(), loop_.clock().wall(),
-                                     jitter_of(options_.name));
+  supervisor_ = std::make_unique<Supervisor>(options_.policy, kept, loop_.now(), loop_.clock().wall(),
+                                             jitter_of(options_.name));
   for (int i = 0; i < kSlots; ++i) {
     if (!found[i]) continue;
     log::event(log::Level::info, "gatherer.adopted",
                {{"slot", i}, {"pid", found[i]->pid}, {"version", found[i]->version}});
     slots_[i].began_ms = since_ms_;
-    minder_->adopted(i, found[i]->version, versions_.facts(found[i]->version));
+    supervisor_->on_process_adopted(i, found[i]->version, versions_.facts(found[i]->version));
     if (listener_) continue;
     listening_ = listen_of(found[i]->version);
     listener_ = slots_[i].child->listener_of(listening_);
     if (!listener_)
       log::event(log::Level::warning, "keeper.listener_not_regained", {{"address", listening_}});
   }
-  minder_->resume(versions_.facts(kept.in_force), versions_.facts(kept.former),
-                  kept.order && versions_.has(kept.order->version));
+  supervisor_->resume(versions_.facts(kept.in_force), versions_.facts(kept.former),
+                      kept.order && versions_.has(kept.order->version));
   start_settings();
   control_ =
       std::make_unique<Control>(loop_, options_.control,
@@ -142,19 +142,19 @@
 
 void Keeper::leave() {
   log::event(log::Level::info, "keeper.stopping");
-  minder_->tick(loop_.now(), loop_.clock().wall());
-  minder_->leave();
+  supervisor_->tick(loop_.now(), loop_.clock().wall());
+  supervisor_->shut_down();
   carry_out();
 }
 
 void Keeper::beat() {
   beat_.reset();
   graves_.clear();
-  minder_->tick(loop_.now(), loop_.clock().wall());
+  supervisor_->tick(loop_.now(), loop_.clock().wall());
   carry_out();
   tick_settings();
   if (loop_.now() >= health_next_) ask_health();
-  if (minder_->left() && !left_) {
+  if (supervisor_->is_shut_down() && !left_) {
     left_ = true;
     log::event(log::Level::info, "keeper.stopped");
     return;
@@ -167,52 +167,52 @@
 void Keeper::carry_out() {
   if (carrying_) return;
   carrying_ = true;
-  while (const auto act = minder_->next()) {
-    switch (act->what) {
-      case Act::What::keep:
-        minder_->kept_written(write(minder_->kept()));
+  while (const auto action = supervisor_->next_action()) {
+    switch (action->type) {
+      case Action::Type::persist_state:
+        supervisor_->on_state_written(write(supervisor_->state()));
         break;
-      case Act::What::link:
+      case Action::Type::link_version:
         try {
-          versions_.link(act->version);
-          minder_->linked();
+          versions_.link(action->version);
+          supervisor_->on_version_linked();
         } catch (const disk::DiskError& wrong) {
           log::event(log::Level::error, "keeper.not_linked",
-                     {{"version", act->version}, {"why", wrong.what()}});
-          minder_->not_linked(wrong.what());
+                     {{"version", action->version}, {"why", wrong.what()}});
+          supervisor_->on_link_failed(wrong.what());
         }
         break;
-      case Act::What::begin:
-        begin(act->slot, act->version);
+      case Action::Type::start_process:
+        begin(action->slot, action->version);
         break;
-      case Act::What::label:
-        slots_[act->slot].child->relabel(act->version);
+      case Action::Type::record_version:
+        slots_[action->slot].child->relabel(action->version);
         break;
-      case Act::What::hup:
-        hup(act->slot);
+      case Action::Type::reload:
+        hup(action->slot);
         break;
-      case Act::What::term:
-        slots_[act->slot].stopping = true;
-        slots_[act->slot].child->signal(SIGTERM);
+      case Action::Type::terminate:
+        slots_[action->slot].stopping = true;
+        slots_[action->slot].child->signal(SIGTERM);
         fail_points::hit("term.after");
         break;
-      case Act::What::kill:
-        slots_[act->slot].felled = true;
-        slots_[act->slot].child->signal(SIGKILL);
+      case Action::Type::kill:
+        slots_[action->slot].felled = true;
+        slots_[action->slot].child->signal(SIGKILL);
         break;
-      case Act::What::note:
+      case Action::Type::log:
         log::event(log::Level::info, "keeper.note",
-                   {{"slot", act->slot}, {"version", act->version}, {"what", act->why}});
+                   {{"slot", action->slot}, {"version", action->version}, {"what", action->message}});
         break;
     }
   }
   carrying_ = false;
 }
 
-bool Keeper::write(const Kept& kept) {
+bool Keeper::write(const KeeperState& kept) {
   try {
     fail_points::hit("state.before");
-    disk_.replace_file(options_.folder + "/state", put(kept), 0600);
+    disk_.replace_file(options_.folder + "/state", serialize(kept), 0600);
     fail_points::hit("state.after");
     write_wrong_.clear();
     return true;
@@ -249,7 +249,7 @@
 
 void Keeper::begin(int number, const std::string& version) {
   Slot& slot = slots_[number];
-  const VersionFacts facts = versions_.facts(version);
+  const VersionInfo facts = versions_.facts(version);
   try {
     Child::Start start;
     start.version = version;
@@ -261,7 +261,7 @@
     start.listener = listener_for(version);
     slot.child->begin(start);
   } catch (const std::exception& wrong) {
-    return minder_->not_begun(number, wrong.what());
+    return supervisor_->on_start_failed(number, wrong.what());
   }
   slot.series.clear();
   slot.began_ms = loop_.clock().wall() / 1ms;
@@ -270,7 +270,7 @@
   slot.waits.clear();
   log::event(log::Level::info, "gatherer.began",
              {{"slot", number}, {"pid", slot.child->pid()}, {"version", version}});
-  minder_->began(number, facts);
+  supervisor_->on_process_started(number, facts);
 }
 
 // ---- what happens ----
@@ -282,7 +282,7 @@
     const json event = config::parse(text);
     const std::string& name = config::text(event, "event");
     // What a process said last may be read after a long time without a turn.
-    minder_->tick(loop_.now(), loop_.clock().wall());
+    supervisor_->tick(loop_.now(), loop_.clock().wall());
     if (name == "window") {
       totals::Window window = totals::read_window(config::object(event, "window"));
       const auto count = static_cast<std::uint64_t>(config::whole(event, "number"));
@@ -290,12 +290,13 @@
       slot.number = count;
       slot.windows += 1;
       const totals::Count all = window.all();
-      if (settings_ && number == minder_->lead()) settings_->runs(settings_index_of(event));
-      minder_->heard(number, {config::text(event, "configuration"), all.taken, all.ended(), window.in_hand});
+      if (settings_ && number == supervisor_->primary_slot()) settings_->runs(settings_index_of(event));
+      supervisor_->on_window_report(
+          number, {config::text(event, "configuration"), all.taken, all.ended(), window.in_hand});
       slot.series.add(std::move(window));
     } else if (name == "gatherer.serving") {
-      if (settings_ && number == minder_->lead()) settings_->runs(settings_index_of(event));
-      minder_->serves(number);
+      if (settings_ && number == supervisor_->primary_slot()) settings_->runs(settings_index_of(event));
+      supervisor_->on_process_serving(number);
     } else if (name == "configuration.refused") {
       read_said(number, false, settings_index_of(event), stated_or(event, "why", ""));
     } else if (name == "configuration.waits_for_start") {
@@ -313,15 +314,15 @@
 void Keeper::ask_health() {
   health_next_ = loop_.now() + kHealthEvery;
   if (health_) {
-    if (!health_said_) minder_->health(false);
+    if (!health_said_) supervisor_->on_health_result(false);
     health_->close();
     graves_.push_back(std::move(health_));
   }
   health_said_ = false;
   const auto address = net::parse_address(listening_);
-  if (!address || !slots_[minder_->lead()].child->alive()) return;
+  if (!address || !slots_[supervisor_->primary_slot()].child->alive()) return;
   net::Descriptor fd = net::start_connect(*address);
-  if (!fd) return minder_->health(false);
+  if (!fd) return supervisor_->on_health_result(false);
   health_ = std::make_unique<net::Stream>(
       loop_, std::move(fd), false, 4096, 4096,
       net::Stream::Told{[this] {
@@ -331,12 +332,12 @@
                         },
                         [this] {
                           health_said_ = true;
-                          minder_->health(health_->in().front().starts_with("HTTP/1.1 200"));
+                          supervisor_->on_health_result(health_->in().front().starts_with("HTTP/1.1 200"));
                           health_->close();
                         },
                         nullptr,
                         [this](bool) {
-                          if (!health_said_) minder_->health(false);
+                          if (!health_said_) supervisor_->on_health_result(false);
                           health_said_ = true;
                           health_->close();
                         }});
@@ -359,20 +360,20 @@
     return;
   }
   taking_.reset();
-  minder_->versions_done(wrong);
+  supervisor_->on_version_task_done(wrong);
   carry_out();
 }
 
 // The way there and the way back, as far as they can be tried without either.
 void Keeper::try_out(const std::string& version) {
-  const std::string present = minder_->kept().in_force;
+  const std::string present = supervisor_->state().in_force;
   std::string wrong;
   if (room_bytes() < kLeastRoom) wrong = "no room left on its disk";
   for (const std::string& each : {version, present}) {
     const std::string damaged = !wrong.empty() || each.empty() ? "" : versions_.verify(each);
     if (!damaged.empty()) wrong = each + ": " + damaged;
   }
-  if (!wrong.empty()) return minder_->versions_done(wrong);
+  if (!wrong.empty()) return supervisor_->on_version_task_done(wrong);
   const auto step = [&](const std::string& program, const std::string& settings, bool must,
                         const std::string& what) {
     Tryout::Step out{
@@ -389,7 +390,7 @@
   }
   trying_ = std::make_unique<Tryout>(loop_, std::move(steps), [this](const Tryout::Result& result) {
     loop_.at(loop_.now(), [this] { trying_.reset(); });
-    minder_->versions_done(result.wrong, result.notes);
+    supervisor_->on_version_task_done(result.wrong, result.notes);
     carry_out();
   });
 }
@@ -397,18 +398,18 @@
 Reply Keeper::order(const std::string& body) {
   Order order;
   try {
-    order = read_order(config::parse(body));
+    order = parse_order(config::parse(body));
   } catch (const config::BadInput& wrong) {
     return {400, json{{"error", wrong.what()}}.dump()};
   }
-  minder_->tick(loop_.now(), loop_.clock().wall());
-  const Kept& present = minder_->kept();
-  Verdict verdict = minder_->considers(order, versions_.has(order.version));
-  if (verdict == Verdict::taken) {
-    Kept kept = Minder::with(present, order, loop_.clock().wall());
+  supervisor_->tick(loop_.now(), loop_.clock().wall());
+  const KeeperState& present = supervisor_->state();
+  OrderVerdict verdict = supervisor_->evaluate(order, versions_.has(order.version));
+  if (verdict == OrderVerdict::accepted) {
+    KeeperState kept = Supervisor::state_with(present, order, loop_.clock().wall());
     // Written down before anything is done: a keeper that ends now goes on with it.
     if (!write(kept)) {
-      verdict = Verdict::not_kept;
+      verdict = OrderVerdict::not_persisted;
     } else {
       fail_points::hit("order.kept");
       log::event(log::Level::info, "order.taken",
@@ -416,35 +417,35 @@
                   {"version", order.version},
                   {"epoch", order.epoch},
                   {"number", order.number}});
-      const VersionFacts target = versions_.facts(kept.in_force), former = versions_.facts(kept.former);
-      minder_->take(order, std::move(kept), target, former);
-      if (order.kind == Kind::take) {
+      const VersionInfo target = versions_.facts(kept.in_force), former = versions_.facts(kept.former);
+      supervisor_->accept(order, std::move(kept), target, former);
+      if (order.kind == OrderKind::take) {
         try {
           taking_ = std::make_unique<Versions::Taking>(versions_, order.version, order.from);
           loop_.at(loop_.now(), [this] { take_some(); });
         } catch (const std::exception& wrong) {
-          minder_->versions_done(wrong.what());
+          supervisor_->on_version_task_done(wrong.what());
         }
-      } else if (order.kind == Kind::try_out) {
+      } else if (order.kind == OrderKind::try_out) {
         try_out(order.version);
-      } else if (order.kind == Kind::drop) {
+      } else if (order.kind == OrderKind::drop) {
         try {
           versions_.drop(order.version);
-          minder_->versions_done("");
+          supervisor_->on_version_task_done("");
         } catch (const disk::DiskError& wrong) {
-          minder_->versions_done(wrong.what());
+          supervisor_->on_version_task_done(wrong.what());
         }
       }
       carry_out();
     }
   }
-  const int code = verdict == Verdict::taken      ? 202
-                   : verdict == Verdict::repeated ? 200
-                   : verdict == Verdict::not_kept ? 507
-                                                  : 409;
+  const int code = verdict == OrderVerdict::accepted        ? 202
+                   : verdict == OrderVerdict::repeated      ? 200
+                   : verdict == OrderVerdict::not_persisted ? 507
+                                                            : 409;
   json out = json::parse(status());
   out["verdict"] = name_of(verdict);
-  if (verdict == Verdict::not_kept) out["verdict_why"] = write_wrong_;
+  if (verdict == OrderVerdict::not_persisted) out["verdict_why"] = write_wrong_;
   return {code, out.dump()};
 }
 
@@ -472,34 +473,34 @@
 }
 
 std::string Keeper::status() const {
-  const Minder& m = *minder_;
-  const Kept& kept = m.kept();
+  const Supervisor& m = *supervisor_;
+  const KeeperState& kept = m.state();
   json out = {{"name", options_.name},
               {"wall_ms", loop_.clock().wall() / 1ms},
               {"keeper", {{"pid", getpid()}, {"since_ms", since_ms_}}},
-              {"wanted", kept.wanted},
+              {"wanted", kept.should_run},
               {"in_force", kept.in_force},
               {"former", kept.former},
               {"linked", versions_.linked().value_or("")},
-              {"will", name_of(m.will())},
-              {"swap", name_of(m.swap())},
+              {"will", name_of(m.run_state())},
+              {"swap", name_of(m.swap_state())},
               {"outcome", name_of(kept.outcome)},
               {"why", kept.why},
               {"outcome_since_ms", kept.since_ms},
               {"starts", kept.starts},
-              {"ends", kept.ends},
-              {"strikes", kept.strikes},
+              {"ends", kept.unplanned_exits},
+              {"strikes", kept.crash_score},
               {"gave_up", kept.gave_up},
               {"room_bytes", room_bytes()},
-              {"unsaved", m.unsaved()},
-              {"impossible", m.impossible()},
+              {"unsaved", m.has_unsaved_state()},
+              {"impossible", m.unexpected_events()},
               {"versions", json::array()},
               {"processes", json::array()}};
-  if (kept.order) out["order"] = put(*kept.order);
+  if (kept.order) out["order"] = to_json(*kept.order);
   if (settings_) out["settings"] = settings_->status();
   if (!state_wrong_.empty()) out["state_wrong"] = state_wrong_;
   if (!write_wrong_.empty()) out["write_wrong"] = write_wrong_;
-  if (const auto again = m.starts_again())
+  if (const auto again = m.next_start_at())
     out["starts_again_in_ms"] = std::max<std::int64_t>((*again - loop_.now()) / 1ms, 0);
   for (const auto& [id, facts] : versions_.all())
     out["versions"].push_back(
@@ -507,15 +508,15 @@
   const std::int64_t recent = loop_.clock().wall() / 1ms - kRecentMs;
   for (int i = 0; i < kSlots; ++i) {
     const Slot& slot = slots_[i];
-    if (m.life(i) == Life::none) continue;
+    if (m.process_state(i) == ProcessState::none) continue;
     const Health health = m.health_of(i);
     const Usage usage = slot.child->usage();
     out["processes"].push_back({{"slot", i},
-                                {"leads", i == m.lead()},
+                                {"leads", i == m.primary_slot()},
                                 {"pid", slot.child->pid()},
-                                {"version", m.version(i)},
+                                {"version", m.process_version(i)},
                                 {"since_ms", slot.began_ms},
-                                {"life", name_of(m.life(i))},
+                                {"life", name_of(m.process_state(i))},
                                 {"healthy", health.healthy},
                                 {"answers", health.answers == Health::Answers::yes  ? "yes"
                                             : health.answers == Health::Answers::no ? "no"
@@ -540,7 +541,7 @@
     for (auto at = slot.series.windows().lower_bound(from_ms); at != slot.series.windows().end(); ++at) {
       json one = totals::put(at->second);
       one["slot"] = i;
-      one["version"] = minder_->version(i);
+      one["version"] = supervisor_->process_version(i);
       one["since_ms"] = slot.began_ms;
       out["windows"].push_back(std::move(one));
     }
--- a/src/keeper/keeper.h
+++ b/src/keeper/keeper.h
@@ -1,5 +1,5 @@
-// The keeper of one machine's gatherer: carries out what keeper::Minder decides, over processes, files and
-// the control address, and tells it what happens. Decides nothing itself.
+// The keeper of one machine's gatherer: carries out what keeper::Supervisor decides, over processes, files
+// and the control address, and tells it what happens. Decides nothing itself.
 #pragma once
 
 #include <functional>
@@ -10,8 +10,8 @@
 #include "disk/disk.h"
 #include "keeper/child.h"
 #include "keeper/control.h"
-#include "keeper/minder.h"
 #include "keeper/settings_keeper.h"
+#include "keeper/supervisor.h"
 #include "keeper/tryout.h"
 #include "keeper/versions.h"
 #include "net/loop.h"
@@ -23,7 +23,7 @@
   std::string name;
   std::string folder;
   net::Address control;
-  Policy policy;
+  SupervisorPolicy policy;
   SettingsOptions settings;
 };
 
@@ -54,7 +54,7 @@
   };
 
   void carry_out();
-  bool write(const Kept& kept);
+  bool write(const KeeperState& kept);
   void begin(int slot, const std::string& version);
   int listener_for(const std::string& version);
   std::string listen_of(const std::string& version) const;
@@ -80,7 +80,7 @@
   Options options_;
   net::Descriptor lock_;
   Versions versions_;
-  std::unique_ptr<Minder> minder_;
+  std::unique_ptr<Supervisor> supervisor_;
   std::unique_ptr<SettingsKeeper> settings_;  // of the fleet; none where no control node was named
   std::optional<int> hup_waits_;              // the slot; until the gatherer has read the fleet's settings
   Slot slots_[kSlots];
--- a/src/keeper/orders.cpp
+++ b/src/keeper/orders.cpp
@@ -14,10 +14,11 @@
 using config::BadInput;
 using nlohmann::json;
 
-constexpr std::array<const char*, kKinds> kKindNames{"use", "run", "stop", "confirm", "take", "drop", "try"};
+constexpr std::array<const char*, kOrderKinds> kOrderKindNames{"use",  "run",  "stop", "confirm",
+                                                               "take", "drop", "try"};
 constexpr std::array<const char*, kOutcomes> kOutcomeNames{"none", "under_way", "on_trial", "returning",
                                                            "done", "refused",   "back",     "held"};
-constexpr std::array<const char*, kVerdicts> kVerdictNames{
+constexpr std::array<const char*, kOrderVerdicts> kOrderVerdictNames{
     "taken",           "old_epoch",          "late",    "repeated", "contradicts", "other", "busy",
     "unknown_version", "nothing_to_confirm", "not_kept"};
 constexpr int kFormat = 1;
@@ -38,11 +39,11 @@
 
 }  // namespace
 
-const char* name_of(Kind kind) { return kKindNames[static_cast<std::size_t>(kind)]; }
+const char* name_of(OrderKind kind) { return kOrderKindNames[static_cast<std::size_t>(kind)]; }
 const char* name_of(Outcome outcome) { return kOutcomeNames[static_cast<std::size_t>(outcome)]; }
-const char* name_of(Verdict verdict) { return kVerdictNames[static_cast<std::size_t>(verdict)]; }
+const char* name_of(OrderVerdict verdict) { return kOrderVerdictNames[static_cast<std::size_t>(verdict)]; }
 
-std::optional<Outcome> outcome_named(const std::string& name) {
+std::optional<Outcome> parse_outcome(const std::string& name) {
   for (std::size_t i = 0; i < kOutcomeNames.size(); ++i) {
     if (name == kOutcomeNames[i]) return static_cast<Outcome>(i);
   }
@@ -55,23 +56,23 @@
              std::string::npos;
 }
 
-Order read_order(const json& from) {
+Order parse_order(const json& from) {
   if (!from.is_object()) throw BadInput("the order is not an object");
   Order out;
   out.epoch = natural(from, "epoch");
   out.number = natural(from, "number");
   const std::string& kind = config::text(from, "order");
   int place = 0;
-  while (place < kKinds && kind != kKindNames[static_cast<std::size_t>(place)]) ++place;
-  if (place == kKinds) throw BadInput("order: not use, run, stop, confirm, take, drop or try: " + kind);
-  out.kind = static_cast<Kind>(place);
-  const bool names =
-      out.kind == Kind::use || out.kind == Kind::take || out.kind == Kind::drop || out.kind == Kind::try_out;
+  while (place < kOrderKinds && kind != kOrderKindNames[static_cast<std::size_t>(place)]) ++place;
+  if (place == kOrderKinds) throw BadInput("order: not use, run, stop, confirm, take, drop or try: " + kind);
+  out.kind = static_cast<OrderKind>(place);
+  const bool names = out.kind == OrderKind::use || out.kind == OrderKind::take ||
+                     out.kind == OrderKind::drop || out.kind == OrderKind::try_out;
   if (names) {
     out.version = config::text(from, "version");
     if (!is_version_name(out.version)) throw BadInput("version: not a version's name: " + out.version);
   }
-  if (out.kind == Kind::take) {
+  if (out.kind == OrderKind::take) {
     out.from = config::text(from, "from");
     if (out.from.empty() || out.from.front() != '/') throw BadInput("from: not an absolute path");
   }
@@ -79,12 +80,12 @@
   out.not_after_ms = config::whole_or(from, "not_after_ms", 0);
   const std::int64_t trial = config::whole_or(from, "trial_ms", 0);
   if (trial < 0 || trial > kLongestTrialMs) throw BadInput("trial_ms: out of range");
-  if (trial > 0 && out.kind != Kind::use) throw BadInput("trial_ms: only of the order use");
+  if (trial > 0 && out.kind != OrderKind::use) throw BadInput("trial_ms: only of the order use");
   out.trial = std::chrono::milliseconds(trial);
   return out;
 }
 
-json put(const Order& order) {
+json to_json(const Order& order) {
   json out = {{"epoch", order.epoch}, {"number", order.number}, {"order", name_of(order.kind)}};
   if (!order.version.empty()) out["version"] = order.version;
   if (!order.from.empty()) out["from"] = order.from;
@@ -94,18 +95,23 @@
   return out;
 }
 
-std::string put(const Kept& kept) {
-  json body = {{"wanted", kept.wanted},   {"in_force", kept.in_force},
-               {"former", kept.former},   {"outcome", name_of(kept.outcome)},
-               {"why", kept.why},         {"since_ms", kept.since_ms},
-               {"starts", kept.starts},   {"ends", kept.ends},
-               {"strikes", kept.strikes}, {"gave_up", kept.gave_up}};
-  if (kept.order) body["order"] = put(*kept.order);
+std::string serialize(const KeeperState& kept) {
+  json body = {{"wanted", kept.should_run},
+               {"in_force", kept.in_force},
+               {"former", kept.former},
+               {"outcome", name_of(kept.outcome)},
+               {"why", kept.why},
+               {"since_ms", kept.since_ms},
+               {"starts", kept.starts},
+               {"ends", kept.unplanned_exits},
+               {"strikes", kept.crash_score},
+               {"gave_up", kept.gave_up}};
+  if (kept.order) body["order"] = to_json(*kept.order);
   const std::string text = body.dump();
   return json{{"format", kFormat}, {"checksum", checksum(text)}}.dump() + "\n" + text + "\n";
 }
 
-Kept read_kept(const std::string& text) {
+KeeperState parse_state(const std::string& text) {
   const std::size_t end = text.find('\n');
   if (end == std::string::npos || text.empty() || text.back() != '\n' || end + 1 >= text.size())
     throw BadInput("kept state: is torn");
@@ -116,50 +122,53 @@
   const std::string body_text = text.substr(end + 1, text.size() - end - 2);
   if (config::text(head, "checksum") != checksum(body_text)) throw BadInput("kept state: is damaged");
   const json body = config::parse(body_text);
-  Kept out;
-  out.wanted = body.at("wanted").get<bool>();
+  KeeperState out;
+  out.should_run = body.at("wanted").get<bool>();
   out.in_force = config::text(body, "in_force");
   out.former = config::text(body, "former");
-  if (body.contains("order")) out.order = read_order(body["order"]);
-  out.outcome = outcome_named(config::text(body, "outcome")).value_or(Outcome::none);
+  if (body.contains("order")) out.order = parse_order(body["order"]);
+  out.outcome = parse_outcome(config::text(body, "outcome")).value_or(Outcome::none);
   out.why = config::text(body, "why");
   out.since_ms = config::whole(body, "since_ms");
   out.starts = natural(body, "starts");
-  out.ends = natural(body, "ends");
-  out.strikes = config::number(body.at("strikes"), "strikes");
+  out.unplanned_exits = natural(body, "ends");
+  out.crash_score = config::number(body.at("strikes"), "strikes");
   out.gave_up = body.at("gave_up").get<bool>();
   return out;
 }
 
-Verdict judge(const Order& order, const Kept& kept, Span wall, bool has_version) {
+OrderVerdict check_order(const Order& order, const KeeperState& kept, Span wall, bool has_version) {
   if (kept.order) {
     const Order& last = *kept.order;
-    if (order.epoch < last.epoch) return Verdict::old_epoch;
+    if (order.epoch < last.epoch) return OrderVerdict::old_epoch;
     if (order.epoch == last.epoch) {
-      if (order.number < last.number) return Verdict::late;
+      if (order.number < last.number) return OrderVerdict::late;
       // What it must not be later than may be said anew with each repetition.
       Order same = order;
       same.not_after_ms = last.not_after_ms;
-      if (order.number == last.number) return same == last ? Verdict::repeated : Verdict::contradicts;
+      if (order.number == last.number)
+        return same == last ? OrderVerdict::repeated : OrderVerdict::contradicts;
     }
   }
-  if (order.not_after_ms != 0 && wall > std::chrono::milliseconds(order.not_after_ms)) return Verdict::late;
-  if (order.if_in_force && *order.if_in_force != kept.in_force) return Verdict::other;
-  if (order.kind == Kind::confirm)
-    return kept.outcome == Outcome::on_trial ? Verdict::taken : Verdict::nothing_to_confirm;
+  if (order.not_after_ms != 0 && wall > std::chrono::milliseconds(order.not_after_ms))
+    return OrderVerdict::late;
+  if (order.if_in_force && *order.if_in_force != kept.in_force) return OrderVerdict::other_version_in_force;
+  if (order.kind == OrderKind::confirm)
+    return kept.outcome == Outcome::on_trial ? OrderVerdict::accepted : OrderVerdict::nothing_to_confirm;
   // A stop is never too early; all else waits for the end of what is under way, and what is on trial may only
   // be confirmed or replaced.
-  if (order.kind != Kind::stop && (kept.outcome == Outcome::under_way || kept.outcome == Outcome::returning))
-    return Verdict::busy;
-  if (order.kind != Kind::stop && order.kind != Kind::use && kept.outcome == Outcome::on_trial)
-    return Verdict::busy;
-  if (order.kind == Kind::use && !has_version) return Verdict::unknown_version;
-  if ((order.kind == Kind::drop || order.kind == Kind::try_out) && !has_version)
-    return Verdict::unknown_version;
-  if (order.kind == Kind::drop && (order.version == kept.in_force || order.version == kept.former))
-    return Verdict::busy;
-  if (order.kind == Kind::run && kept.in_force.empty()) return Verdict::unknown_version;
-  return Verdict::taken;
+  if (order.kind != OrderKind::stop &&
+      (kept.outcome == Outcome::under_way || kept.outcome == Outcome::rolling_back))
+    return OrderVerdict::busy;
+  if (order.kind != OrderKind::stop && order.kind != OrderKind::use && kept.outcome == Outcome::on_trial)
+    return OrderVerdict::busy;
+  if (order.kind == OrderKind::use && !has_version) return OrderVerdict::unknown_version;
+  if ((order.kind == OrderKind::drop || order.kind == OrderKind::try_out) && !has_version)
+    return OrderVerdict::unknown_version;
+  if (order.kind == OrderKind::drop && (order.version == kept.in_force || order.version == kept.former))
+    return OrderVerdict::busy;
+  if (order.kind == OrderKind::run && kept.in_force.empty()) return OrderVerdict::unknown_version;
+  return OrderVerdict::accepted;
 }
 
 }  // namespace marbledyke::keeper
--- a/src/keeper/program.cpp
+++ b/src/keeper/program.cpp
@@ -54,17 +54,17 @@
       ->check(CLI::Range(std::size_t{1}, std::size_t{64}));
   app.add_option("--fleet", settings.fleet, "Whose settings these are; with --control-node");
   app.add_option("--zone", settings.zone, "Where it stands; with --control-node");
-  Policy& p = options.policy;
-  duration(app, "--start-limit", p.start_limit, "A process serves within this from its begin");
-  duration(app, "--prove", p.prove, "What was swapped has to be sound for so long");
-  duration(app, "--prove-limit", p.prove_limit, "and within this");
-  duration(app, "--silent-after", p.silent_after, "Without a word for this it hangs");
-  duration(app, "--mute-after", p.mute_after, "Takes multigets for so long and ends none: it hangs");
-  duration(app, "--hung-limit", p.hung_limit, "One that hangs is ended after this");
-  duration(app, "--first-wait", p.first_wait, "Before the second start in a row; doubles with each");
-  duration(app, "--longest-wait", p.longest_wait, "and is this at most");
-  duration(app, "--strike-fades", p.strike_fades, "A life of this makes up for one end");
-  app.add_option("--most-strikes", p.most_strikes, "Ends that count until it gives up")
+  SupervisorPolicy& p = options.policy;
+  duration(app, "--start-limit", p.start_timeout, "A process serves within this from its begin");
+  duration(app, "--prove", p.proving_period, "What was swapped has to be sound for so long");
+  duration(app, "--prove-limit", p.proving_timeout, "and within this");
+  duration(app, "--silent-after", p.silence_timeout, "Without a word for this it hangs");
+  duration(app, "--mute-after", p.no_progress_timeout, "Takes multigets for so long and ends none: it hangs");
+  duration(app, "--hung-limit", p.hung_timeout, "One that hangs is ended after this");
+  duration(app, "--first-wait", p.initial_backoff, "Before the second start in a row; doubles with each");
+  duration(app, "--longest-wait", p.max_backoff, "and is this at most");
+  duration(app, "--strike-fades", p.crash_score_decay_time, "A life of this makes up for one end");
+  app.add_option("--most-strikes", p.max_crash_score, "Ends that count until it gives up")
       ->check(CLI::Range(2.0, 1000.0));
   CLI11_PARSE(app, count, words);
 
--- a/src/keeper/settings_holder.cpp
+++ b/src/keeper/settings_holder.cpp
@@ -89,9 +89,9 @@
 }
 
 Span limit_of(P phase, const HolderPolicy& policy) {
-  if (phase == P::waiting) return policy.wait_limit;
-  if (phase == P::trying) return policy.read_limit;
-  if (phase == P::probation) return policy.probation;
+  if (phase == P::waiting) return policy.wait_timeout;
+  if (phase == P::trying) return policy.reload_timeout;
+  if (phase == P::probation) return policy.probation_period;
   return Span::max();
 }
 
@@ -139,7 +139,7 @@
   const Span gap = now - now_;
   now_ = now;
   host_ = host;
-  if (gap > policy_.late) {
+  if (gap > policy_.stall_threshold) {
     since_ += gap;
     offered_since_ += gap;
   }
@@ -149,7 +149,7 @@
   }
   // While another one waits, the one that a gatherer runs proves itself.
   if (phase_ == HolderPhase::waiting && !same(settings_, good_) && settings_ &&
-      running_ == settings_->index && now_ - running_since_ >= policy_.probation)
+      running_ == settings_->index && now_ - running_since_ >= policy_.probation_period)
     put_good(settings_);
   if (next_offer_ && phase_ != HolderPhase::trying) {
     const Revision next = *std::exchange(next_offer_, std::nullopt);
@@ -201,7 +201,7 @@
     return;
   }
   write_wrong_ = wrong;
-  write_next_ = now_ + policy_.write_again;
+  write_next_ = now_ + policy_.write_retry_interval;
   if (attempted) take_back_attempt();
 }
 
--- a/src/keeper/settings_holder.h
+++ b/src/keeper/settings_holder.h
@@ -19,11 +19,12 @@
 namespace marbledyke::keeper {
 
 struct HolderPolicy {
-  Span read_limit{5'000'000};   // from SIGHUP until the gatherer says what it made of it
-  Span wait_limit{65'000'000};  // for the end of a swap of versions, which takes 60 s at most, both ways
-  Span probation{2'000'000};    // a gatherer that ends by itself so soon after is taken to have ended by it
-  Span late{1'000'000};         // a turn that comes so late: the keeper itself stood still
-  Span write_again{1'000'000};  // after a write that failed
+  Span reload_timeout{5'000'000};  // from SIGHUP until the gatherer says what it made of it
+  Span wait_timeout{65'000'000};   // for the end of a swap of versions, which takes 60 s at most, both ways
+  Span probation_period{
+      2'000'000};  // a gatherer that ends by itself so soon after is taken to have ended by it
+  Span stall_threshold{1'000'000};       // a turn that comes so late: the keeper itself stood still
+  Span write_retry_interval{1'000'000};  // after a write that failed
 };
 
 // What stands in the way of telling the gatherer: nothing, a swap or start under way, or that none runs.
--- a/src/keeper/versions.cpp
+++ b/src/keeper/versions.cpp
@@ -119,9 +119,9 @@
   }
 }
 
-VersionFacts Versions::facts(const std::string& id) const {
+VersionInfo Versions::facts(const std::string& id) const {
   const auto at = facts_.find(id);
-  return at == facts_.end() ? VersionFacts{} : at->second;
+  return at == facts_.end() ? VersionInfo{} : at->second;
 }
 
 void Versions::link(const std::string& id) {
--- a/src/keeper/versions.h
+++ b/src/keeper/versions.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "disk/disk.h"
-#include "keeper/minder.h"
+#include "keeper/supervisor.h"
 
 namespace marbledyke::keeper {
 
@@ -28,8 +28,8 @@
   void open();
   bool has(const std::string& id) const { return facts_.contains(id); }
   // Empty facts for what is not there.
-  VersionFacts facts(const std::string& id) const;
-  const std::map<std::string, VersionFacts>& all() const { return facts_; }
+  VersionInfo facts(const std::string& id) const;
+  const std::map<std::string, VersionInfo>& all() const { return facts_; }
   std::string path(const std::string& id) const;  // of its folder
   std::string current() const;                    // the link
   void link(const std::string& id);               // throws disk::DiskError
@@ -63,7 +63,7 @@
 
   disk::Disk& disk_;
   std::string folder_;
-  std::map<std::string, VersionFacts> facts_;
+  std::map<std::string, VersionInfo> facts_;
 };
 
 }  // namespace marbledyke::keeper
--- a/tests/keeper_traces.cpp
+++ b/tests/keeper_traces.cpp
@@ -17,14 +17,14 @@
 using emulator::Behaviour;
 using emulator::EmulatedKeeper;
 using emulator::EmulatedVersion;
-using keeper::Kept;
-using keeper::Kind;
+using keeper::KeeperState;
 using keeper::Order;
+using keeper::OrderKind;
 using keeper::Outcome;
 
 namespace {
 
-Order order(Kind kind, std::uint64_t number, const std::string& version = {}, Span trial = {},
+Order order(OrderKind kind, std::uint64_t number, const std::string& version = {}, Span trial = {},
             std::uint64_t epoch = 1) {
   Order out;
   out.epoch = epoch;
@@ -36,46 +36,46 @@
 }
 
 void orders() {
-  Kept kept;
+  KeeperState kept;
   kept.in_force = "v1";
   kept.former = "v0";
   kept.outcome = Outcome::done;
-  kept.order = order(Kind::use, 5, "v1", {}, 3);
+  kept.order = order(OrderKind::use, 5, "v1", {}, 3);
   const Span wall = 1000s;
-  const auto say = [&](const char* what, const Order& o, const Kept& k, bool has = true) {
-    std::printf("%-44s %s\n", what, keeper::name_of(keeper::judge(o, k, wall, has)));
+  const auto say = [&](const char* what, const Order& o, const KeeperState& k, bool has = true) {
+    std::printf("%-44s %s\n", what, keeper::name_of(keeper::check_order(o, k, wall, has)));
   };
-  say("the next one", order(Kind::use, 6, "v2", {}, 3), kept);
-  say("one that skips numbers", order(Kind::use, 60, "v2", {}, 3), kept);
+  say("the next one", order(OrderKind::use, 6, "v2", {}, 3), kept);
+  say("one that skips numbers", order(OrderKind::use, 60, "v2", {}, 3), kept);
   say("the same again", *kept.order, kept);
-  say("the same number, another version", order(Kind::use, 5, "v2", {}, 3), kept);
-  say("an earlier number", order(Kind::use, 4, "v2", {}, 3), kept);
-  say("an older epoch, a high number", order(Kind::stop, 900, {}, {}, 2), kept);
-  say("a newer epoch, number 0", order(Kind::stop, 0, {}, {}, 4), kept);
-  Order late = order(Kind::use, 6, "v2", {}, 3);
+  say("the same number, another version", order(OrderKind::use, 5, "v2", {}, 3), kept);
+  say("an earlier number", order(OrderKind::use, 4, "v2", {}, 3), kept);
+  say("an older epoch, a high number", order(OrderKind::stop, 900, {}, {}, 2), kept);
+  say("a newer epoch, number 0", order(OrderKind::stop, 0, {}, {}, 4), kept);
+  Order late = order(OrderKind::use, 6, "v2", {}, 3);
   late.not_after_ms = 999'999;
   say("its time is over", late, kept);
   late.not_after_ms = 1'000'000;
   say("in the last millisecond", late, kept);
-  Order expects = order(Kind::use, 6, "v2", {}, 3);
+  Order expects = order(OrderKind::use, 6, "v2", {}, 3);
   expects.if_in_force = "v0";
   say("expects another version", expects, kept);
-  say("a version that is not there", order(Kind::use, 6, "v9", {}, 3), kept, false);
-  say("to confirm what is not on trial", order(Kind::confirm, 6, {}, {}, 3), kept);
-  say("to drop what is in force", order(Kind::drop, 6, "v1", {}, 3), kept);
-  say("to drop the way back", order(Kind::drop, 6, "v0", {}, 3), kept);
+  say("a version that is not there", order(OrderKind::use, 6, "v9", {}, 3), kept, false);
+  say("to confirm what is not on trial", order(OrderKind::confirm, 6, {}, {}, 3), kept);
+  say("to drop what is in force", order(OrderKind::drop, 6, "v1", {}, 3), kept);
+  say("to drop the way back", order(OrderKind::drop, 6, "v0", {}, 3), kept);
   kept.outcome = Outcome::under_way;
-  say("while one is under way: use", order(Kind::use, 6, "v2", {}, 3), kept);
-  say("while one is under way: stop", order(Kind::stop, 6, {}, {}, 3), kept);
-  say("while one is under way: by the next epoch", order(Kind::use, 0, "v2", {}, 4), kept);
-  kept.outcome = Outcome::returning;
-  say("on the way back: use", order(Kind::use, 6, "v2", {}, 3), kept);
+  say("while one is under way: use", order(OrderKind::use, 6, "v2", {}, 3), kept);
+  say("while one is under way: stop", order(OrderKind::stop, 6, {}, {}, 3), kept);
+  say("while one is under way: by the next epoch", order(OrderKind::use, 0, "v2", {}, 4), kept);
+  kept.outcome = Outcome::rolling_back;
+  say("on the way back: use", order(OrderKind::use, 6, "v2", {}, 3), kept);
   kept.outcome = Outcome::on_trial;
-  say("on trial: confirm", order(Kind::confirm, 6, {}, {}, 3), kept);
-  say("on trial: use", order(Kind::use, 6, "v0", {}, 3), kept);
-  say("on trial: take", order(Kind::take, 6, "v7", {}, 3), kept);
-  Kept fresh;
-  say("to run where nothing is in force", order(Kind::run, 1), fresh);
+  say("on trial: confirm", order(OrderKind::confirm, 6, {}, {}, 3), kept);
+  say("on trial: use", order(OrderKind::use, 6, "v0", {}, 3), kept);
+  say("on trial: take", order(OrderKind::take, 6, "v7", {}, 3), kept);
+  KeeperState fresh;
+  say("to run where nothing is in force", order(OrderKind::run, 1), fresh);
 
   std::puts("-- as they are written");
   for (const char* text :
@@ -87,7 +87,7 @@
         R"({"epoch":1,"number":2,"order":"run","trial_ms":5})",
         R"({"epoch":1,"number":2.5,"order":"run"})"}) {
     try {
-      std::printf("%s\n", keeper::put(keeper::read_order(config::parse(text))).dump().c_str());
+      std::printf("%s\n", keeper::to_json(keeper::parse_order(config::parse(text))).dump().c_str());
     } catch (const config::BadInput& wrong) {
       std::printf("refused: %s\n", wrong.what());
     }
@@ -105,24 +105,24 @@
 
 // What is on the disk is as it was written, or it is refused: torn at any byte, or with any bit flipped.
 void kept() {
-  Kept all;
-  all.wanted = true;
+  KeeperState all;
+  all.should_run = true;
   all.in_force = "v2";
   all.former = "v1";
-  all.order = order(Kind::use, 7, "v2", 90s, 12);
+  all.order = order(OrderKind::use, 7, "v2", 90s, 12);
   all.order->if_in_force = "v1";
   all.outcome = Outcome::on_trial;
   all.why = "a \"reason\"\nof two lines";
   all.since_ms = 1'700'000'000'123;
   all.starts = 4;
-  all.ends = 2;
-  all.strikes = 1.25;
-  const std::string text = keeper::put(all);
-  std::printf("read back as written: %s\n", keeper::read_kept(text) == all ? "yes" : "NO");
+  all.unplanned_exits = 2;
+  all.crash_score = 1.25;
+  const std::string text = keeper::serialize(all);
+  std::printf("read back as written: %s\n", keeper::parse_state(text) == all ? "yes" : "NO");
   int torn = 0, flipped = 0, taken_anyway = 0;
   const auto refused = [&](const std::string& damaged) {
     try {
-      const Kept read = keeper::read_kept(damaged);
+      const KeeperState read = keeper::parse_state(damaged);
       return !(read == all);  // another state taken for good
     } catch (const std::exception&) {
       return true;
@@ -130,7 +130,7 @@
   };
   const auto wrongly = [&](const std::string& damaged) {
     try {
-      return !(keeper::read_kept(damaged) == all);
+      return !(keeper::parse_state(damaged) == all);
     } catch (const std::exception&) {
       return false;
     }
@@ -152,7 +152,7 @@
   std::string newer = text;
   newer.replace(newer.find("\"format\":1"), 10, "\"format\":2");
   try {
-    keeper::read_kept(newer);
+    keeper::parse_state(newer);
     std::puts("another format: TAKEN");
   } catch (const config::BadInput& wrong) {
     std::printf("another format: %s\n", wrong.what());
@@ -255,7 +255,7 @@
       if (!quiet) std::printf("%7.2f  %s\n", static_cast<double>(keeper_.now().count()) / 1e6, what.c_str());
     };
   }
-  void give(Kind kind, const std::string& version = {}, Span trial = {}) {
+  void give(OrderKind kind, const std::string& version = {}, Span trial = {}) {
     const auto verdict = keeper_.order(order(kind, ++number_, version, trial));
     std::printf("%7.2f  ORDER %s %s: %s\n", static_cast<double>(keeper_.now().count()) / 1e6,
                 keeper::name_of(kind), version.c_str(), verdict ? keeper::name_of(*verdict) : "no answer");
@@ -264,7 +264,7 @@
     while (keeper_.now() < when) keeper_.step();
   }
   void end() {
-    const Kept& kept = keeper_.kept();
+    const KeeperState& kept = keeper_.kept();
     std::printf("         outcome %s%s%s; in force %s, serves %s, %d processes, %.1f s served%s%s\n",
                 keeper::name_of(kept.outcome), kept.why.empty() ? "" : ": ", kept.why.c_str(),
                 kept.in_force.c_str(), keeper_.serving_version().c_str(), keeper_.processes(),
@@ -282,41 +282,41 @@
 void swaps() {
   {
     Play p("settings suffice: it reads them again; another program comes up beside it");
-    p.give(Kind::use, "good");
+    p.give(OrderKind::use, "good");
     p.until(5s);
-    p.give(Kind::use, "settings");
+    p.give(OrderKind::use, "settings");
     p.until(10s);
-    p.give(Kind::use, "good2");
+    p.give(OrderKind::use, "good2");
     p.until(18s);
     p.end();
   }
   for (const char* bad : {"refused", "refused2", "ends-at-once", "hangs", "mute", "never-serves"}) {
     Play p((std::string("taken back: ") + bad).c_str());
-    p.give(Kind::use, "good");
+    p.give(OrderKind::use, "good");
     p.until(5s);
-    p.give(Kind::use, bad);
+    p.give(OrderKind::use, bad);
     p.until(50s);
     p.end();
   }
   {
     Play p("some settings want a start, and its way there fails: what was read already is read back");
-    p.give(Kind::use, "good");
+    p.give(OrderKind::use, "good");
     p.until(5s);
-    p.give(Kind::use, "wants-start");
+    p.give(OrderKind::use, "wants-start");
     p.until(15s);
     p.end();
   }
   {
     Play p("the first version ever is bad: held, there is nothing to go back to");
-    p.give(Kind::use, "ends-at-once");
+    p.give(OrderKind::use, "ends-at-once");
     p.until(60s);
     p.end();
   }
   {
     Play p("one that does not heed SIGTERM is followed, and ended by force");
-    p.give(Kind::use, "stubborn");
+    p.give(OrderKind::use, "stubborn");
     p.until(5s);
-    p.give(Kind::use, "good");
+    p.give(OrderKind::use, "good");
     p.until(15s);
     p.end();
   }
@@ -325,35 +325,35 @@
 void trials() {
   {
     Play p("on trial and confirmed");
-    p.give(Kind::use, "good");
+    p.give(OrderKind::use, "good");
     p.until(5s);
-    p.give(Kind::use, "good2", 20s);
+    p.give(OrderKind::use, "good2", 20s);
     p.until(15s);
-    p.give(Kind::confirm);
+    p.give(OrderKind::confirm);
     p.until(40s);
     p.end();
   }
   {
     Play p("on trial, nobody says anything: what is proved is kept");
-    p.give(Kind::use, "good");
+    p.give(OrderKind::use, "good");
     p.until(5s);
-    p.give(Kind::use, "good2", 20s);
+    p.give(OrderKind::use, "good2", 20s);
     p.until(40s);
     p.end();
   }
   {
     Play p("on trial, it goes bad later");
-    p.give(Kind::use, "good");
+    p.give(OrderKind::use, "good");
     p.until(5s);
-    p.give(Kind::use, "mute-later", 60s);
+    p.give(OrderKind::use, "mute-later", 60s);
     p.until(60s);
     p.end();
   }
   {
     Play p("on trial, the keeper is killed and back: the trial goes on, by what was kept");
-    p.give(Kind::use, "good");
+    p.give(OrderKind::use, "good");
     p.until(5s);
-    p.give(Kind::use, "good2", 20s);
+    p.give(OrderKind::use, "good2", 20s);
     p.until(15s);
     p.keeper().kill_keeper();
     p.until(20s);
@@ -366,16 +366,16 @@
 void ends() {
   {
     Play p("one that ends 10 s after every start: waits grow, then it is given up");
-    p.give(Kind::use, "ends");
+    p.give(OrderKind::use, "ends");
     p.until(200s);
     p.end();
-    p.give(Kind::run);
+    p.give(OrderKind::run);
     p.until(205s);
     p.end();
   }
   {
     Play p("killed once a quarter of an hour: started at once each time");
-    p.give(Kind::use, "good");
+    p.give(OrderKind::use, "good");
     for (int i = 1; i <= 3; ++i) {
       p.until(i * 900s);
       p.keeper().kill_process();
@@ -385,19 +385,19 @@
   }
   {
     Play p("hangs: ended by force and started again");
-    p.give(Kind::use, "good");
+    p.give(OrderKind::use, "good");
     p.until(5s);
-    p.give(Kind::use, "mute-later");
+    p.give(OrderKind::use, "mute-later");
     p.until(70s);
     p.end();
   }
   {
     Play p("the keeper stands still for 30 s with an order waiting: a sound gatherer is not ended for it");
-    p.give(Kind::use, "good");
+    p.give(OrderKind::use, "good");
     p.until(10s);
     p.keeper().pause_keeper(true);
     p.until(20s);
-    p.give(Kind::stop);
+    p.give(OrderKind::stop);
     p.until(40s);
     p.keeper().pause_keeper(false);
     p.until(50s);
@@ -405,26 +405,26 @@
   }
   {
     Play p("stopped in the middle of a swap");
-    p.give(Kind::use, "good");
+    p.give(OrderKind::use, "good");
     p.until(5s);
-    p.give(Kind::use, "never-serves");
+    p.give(OrderKind::use, "never-serves");
     p.until(8s);
-    p.give(Kind::stop);
+    p.give(OrderKind::stop);
     p.until(20s);
     p.end();
-    p.give(Kind::run);
+    p.give(OrderKind::run);
     p.until(25s);
     p.end();
   }
   {
     Play p("a full disk: the order is not taken, what serves serves on");
-    p.give(Kind::use, "good");
+    p.give(OrderKind::use, "good");
     p.until(5s);
     p.keeper().disk_full(true);
-    p.give(Kind::use, "good2");
+    p.give(OrderKind::use, "good2");
     p.until(10s);
     p.keeper().disk_full(false);
-    p.give(Kind::use, "good2");
+    p.give(OrderKind::use, "good2");
     p.until(20s);
     p.end();
   }
@@ -440,10 +440,10 @@
       Play p(nullptr);
       p.quiet = true;
       EmulatedKeeper& k = p.keeper();
-      k.order(order(Kind::use, 1, "good"));
+      k.order(order(OrderKind::use, 1, "good"));
       p.until(5s);
       k.kill_at_act(at);
-      k.order(order(Kind::use, 2, target));
+      k.order(order(OrderKind::use, 2, target));
       for (Span t = 5s; t < 60s; t += 1s) {
         p.until(t);
         if (!k.keeper_alive()) {
@@ -453,7 +453,7 @@
       }
       k.kill_at_act(-1);
       p.until(100s);
-      const Kept& kept = k.kept();
+      const KeeperState& kept = k.kept();
       std::string end = std::string(keeper::name_of(kept.outcome)) + ", in force " + kept.in_force +
                         ", serves " + k.serving_version() + ", " + std::to_string(k.processes()) + " process";
       if (!k.broken().empty()) end += ", BROKEN: " + k.broken();
@@ -482,11 +482,12 @@
       switch (chance() % 60) {
         case 0:
         case 1: {
-          const Kind kinds[] = {Kind::use, Kind::use, Kind::use, Kind::run, Kind::stop, Kind::confirm};
+          const OrderKind kinds[] = {OrderKind::use, OrderKind::use,  OrderKind::use,
+                                     OrderKind::run, OrderKind::stop, OrderKind::confirm};
           if (chance() % 10 == 0) ++epoch;
           const auto verdict = k.order(order(kinds[chance() % 6], ++number, names[chance() % names.size()],
                                              chance() % 2 == 0 ? Span{} : Span(10s), epoch));
-          orders_given += verdict == keeper::Verdict::taken ? 1 : 0;
+          orders_given += verdict == keeper::OrderVerdict::accepted ? 1 : 0;
           break;
         }
         case 2:
@@ -518,10 +519,10 @@
     for (int i = 0; i < 4000 && !taken; ++i) {
       k.step();
       if (i % 20 == 0)
-        taken = k.order(order(Kind::use, ++number, "good", {}, epoch)) == keeper::Verdict::taken;
+        taken = k.order(order(OrderKind::use, ++number, "good", {}, epoch)) == keeper::OrderVerdict::accepted;
     }
     for (int i = 0; i < 1200; ++i) k.step();
-    const Kept& kept = k.kept();
+    const KeeperState& kept = k.kept();
     const bool rests =
         taken && kept.outcome == Outcome::done && k.serving_version() == "good" && k.processes() == 1;
     if (!rests) {
