--- a/src/clients/ask.h
+++ b/src/clients/ask.h
@@ -27,6 +27,6 @@
 std::string answer_body(bool whole, const std::vector<Value>& values);
 
 // A whole HTTP answer; come_back of zero gives no advice.
-std::string answer_text(int status, std::string_view body, bool stays, Span come_back = {});
+std::string answer_text(int status, std::string_view body, bool stays, Duration come_back = {});
 
 }  // namespace marbledyke::clients
--- a/src/config/commission.cpp
+++ b/src/config/commission.cpp
@@ -43,7 +43,9 @@
   int count(const std::string& name, double least = 1, double most = 1e6) const {
     return static_cast<int>(number(name, least, most));
   }
-  Span time(const std::string& name) const { return Span(static_cast<std::int64_t>(number(name, 1, 1e12))); }
+  Duration time(const std::string& name) const {
+    return Duration(static_cast<std::int64_t>(number(name, 1, 1e12)));
+  }
   bool has(const std::string& name) const { return contract_.has(name); }
   bool flag(const std::string& name) const { return contract_.flag(name, false); }
   std::string word(const std::string& name) const {
@@ -81,9 +83,9 @@
     const std::string need = "specifics.complete-from." + std::to_string(i);
     if (out.op_types.back().floor > (read.has(need) ? read.number(need, 0, 1) : 1.0))
       Contract::refuse("specifics.class-floor." + std::to_string(i), "is above what a whole answer needs");
-    const Span timeout = read.time(at + "deadline");
+    const Duration timeout = read.time(at + "deadline");
     out.longest_timeout = std::max(out.longest_timeout, timeout);
-    const Span budget = read.has(at + "objective") ? read.time(at + "objective") : timeout;
+    const Duration budget = read.has(at + "objective") ? read.time(at + "objective") : timeout;
     out.op_types.back().budget = std::min(budget, timeout);
     out.longest_budget = std::max(out.longest_budget, out.op_types.back().budget);
   }
@@ -97,13 +99,13 @@
   out.parts_a_call = read.count("specifics.bundle-max", 1, 1024);
   out.parts_a_connection = read.count("limits.streams-per-conn");
   out.most_in_hand = read.count("limits.max-open");
-  out.tick = read.has("tick") ? read.time("tick") : Span(5ms);
+  out.tick = read.has("tick") ? read.time("tick") : Duration(5ms);
   out.connect_timeout = read.time("limits.connect-timeout");
   out.idle = read.time("limits.conn-idle");
   if (read.flag("limits.retry-after") && read.has("limits.max-retry-after"))
     out.most_retry_after = read.time("limits.max-retry-after");
   out.list_is_asked = read.has("registry-mode") && read.word("registry-mode") == "ask";
-  out.ask_every = read.has("contract.ask-every") ? read.time("contract.ask-every") : Span(20s);
+  out.ask_every = read.has("contract.ask-every") ? read.time("contract.ask-every") : Duration(20s);
   return out;
 }
 
--- a/src/config/commission.h
+++ b/src/config/commission.h
@@ -21,7 +21,7 @@
   int second_step = 0;  // parts that a first answer is followed by
   bool once = false;    // what may have run is never sent again
   double floor = 1;     // least share of parts for any answer
-  Span budget{};        // latency budget
+  Duration budget{};    // latency budget
   double importance = 1;
 };
 
@@ -35,15 +35,15 @@
   int cells = 1;
   int parts_a_call = 1;
   int parts_a_connection = 1;
-  int most_in_hand = 1;    // multigets and parts
-  Span longest_timeout{};  // of the op types' route timeouts
-  Span longest_budget{};   // and of their latency budgets
-  Span tick{};             // what happened less than this apart may be seen in another order
-  Span connect_timeout{};
-  Span idle{};
-  Span most_retry_after{};     // the longest advice a refusal may carry; zero: it carries none
-  Span ask_every{};            // how long the list may go unasked
-  bool list_is_asked = false;  // the module decides when; else it is watched from the start
+  int most_in_hand = 1;        // multigets and parts
+  Duration longest_timeout{};  // of the op types' route timeouts
+  Duration longest_budget{};   // and of their latency budgets
+  Duration tick{};             // what happened less than this apart may be seen in another order
+  Duration connect_timeout{};
+  Duration idle{};
+  Duration most_retry_after{};  // the longest advice a refusal may carry; zero: it carries none
+  Duration ask_every{};         // how long the list may go unasked
+  bool list_is_asked = false;   // the module decides when; else it is watched from the start
 };
 
 struct Commission {
--- a/src/front/front.h
+++ b/src/front/front.h
@@ -17,7 +17,7 @@
   int shard = 0;
   double mass = 0;  // share of the whole answer; those of a multiget add up to 1
   std::uint64_t key = 0;
-  Span hint{};  // of the work; zero: none
+  Duration hint{};  // of the work; zero: none
 };
 
 // A client's multiget. Its id is unique among those in hand, and of characters that a frame's line may hold.
@@ -25,7 +25,7 @@
   std::string id;
   int op_type = 0;
   int customer = -1;      // none that the terms name
-  Span patience{};        // from when the client sent it
+  Duration patience{};    // from when the client sent it
   bool repeated = false;  // the client says that it has tried before
   std::vector<Piece> pieces;
   std::shared_ptr<const std::string> text;  // what every part carries
@@ -35,7 +35,7 @@
 struct Asked {
   std::uint64_t caller = 0;  // the front's own number for who waits for the answer; never 0
   Ask ask;
-  Span sent_by{};  // its first byte was here then
+  Duration sent_by{};  // its first byte was here then
 };
 
 struct Value {
@@ -56,13 +56,13 @@
 
   // The final answer to a multiget; whoever has left meanwhile is passed over.
   virtual void answer(std::uint64_t caller, bool whole, const std::vector<Value>& values) = 0;
-  virtual void refuse(std::uint64_t caller, Refusal why, Span come_back) = 0;
+  virtual void refuse(std::uint64_t caller, Refusal why, Duration come_back) = 0;
 
   // A planned stop, in this order.
   virtual void leave() = 0;  // says so to who asks whether this gatherer serves
   virtual void stop_accepting() = 0;
   virtual void part_with_all() = 0;  // from now on each connection is closed after its answer
-  virtual void close_idle(Span since) = 0;
+  virtual void close_idle(Duration since) = 0;
 
   virtual bool make_room() = 0;    // ends the connection that can best be spared
   virtual bool empty() const = 0;  // no client is connected; in a planned stop also: none can come any more
--- a/src/gatherer/gatherer.cpp
+++ b/src/gatherer/gatherer.cpp
@@ -15,20 +15,20 @@
 using namespace std::chrono_literals;
 
 // New connections keep coming for up to 0.4 s after a planned stop begins, by the protocol.
-constexpr Span kStillComing = 400ms;
+constexpr Duration kStillComing = 400ms;
 // And the end by force no sooner than the longest route timeout, taken as this where it is longer, and so
 // much more.
-constexpr Span kLongestStop = 3s;
-constexpr Span kBeforeForce = 700ms;
+constexpr Duration kLongestStop = 3s;
+constexpr Duration kBeforeForce = 700ms;
 // Of that so much is kept for the last answers' way: the signal may be read late, an answer waits up to
 // kSlack and a tick for sends that are under way, and then it has to be written.
-constexpr Span kLastAnswers = 200ms;
+constexpr Duration kLastAnswers = 200ms;
 // And of these so much for answers that clients have not read yet: the end of the process would cut them.
-constexpr Span kSlowReaders = 150ms;
+constexpr Duration kSlowReaders = 150ms;
 // The protocol's limits are so much longer on sockets; that long a send may be under way.
-constexpr Span kSlack = 50ms;
+constexpr Duration kSlack = 50ms;
 // Later than that what was due may miss a latency budget; an ordinary turn takes well under a millisecond.
-constexpr Span kLongTurn = 20ms;
+constexpr Duration kLongTurn = 20ms;
 // What this program itself holds open: three standard streams, epoll, signals, the listener, discovery twice,
 // a file that is read again.
 constexpr int kOwnDescriptors = 9;
@@ -45,7 +45,7 @@
              : 0;
 }
 
-list::News read_known(const config::Commission& commission, Span unix_start) {
+list::News read_known(const config::Commission& commission, Duration unix_start) {
   try {
     return list::read_news(commission.known, commission.carriage, unix_start);
   } catch (const config::BadInput& wrong) {
@@ -66,7 +66,7 @@
                client_room(commission, known_servers(commission)), std::move(listening)),
       watch_(loop_, commission, unix_start_,
              {[this](list::News news) { news_.push_back(std::move(news)); },
-              [this](Span most_backoff) { refusals_.push_back(most_backoff); }}),
+              [this](Duration most_backoff) { refusals_.push_back(most_backoff); }}),
       hand_(static_cast<std::size_t>(commission.carriage.most_in_hand)) {
   loop_.tell_long_turns(kLongTurn, [this](const net::Loop::Turn& turn) {
     long_turns_.event({{"ms", turn.took / 1ms}, {"processor_ms", turn.processor / 1ms}, {"in_hand", open_}});
@@ -147,7 +147,7 @@
     for (front::Front* one : fronts_) one->close_idle(loop_.now() - kStillComing);
   }
   // Whoever does not close by then is not waited for; whoever still reads its answer, for a moment.
-  if (open_ == 0 && loop_.now() >= *leave_by_ + (writing() ? kSlowReaders : Span::zero())) return false;
+  if (open_ == 0 && loop_.now() >= *leave_by_ + (writing() ? kSlowReaders : Duration::zero())) return false;
   return open_ > 0 || !no_clients();
 }
 
@@ -254,7 +254,7 @@
   woken_ = false;
   choice_.clock(loop_.now());
   for (list::News& news : std::exchange(news_, {})) list_came(std::move(news));
-  for (const Span most_backoff : std::exchange(refusals_, {})) {
+  for (const Duration most_backoff : std::exchange(refusals_, {})) {
     choice_.list_refused(most_backoff);
     // Where the list is pushed nobody decides to ask for it; the connection that brings it is kept up here.
     if (!commission_.carriage.list_is_asked)
@@ -427,7 +427,7 @@
   done_.sent += 1;
   held_ += 1;
   log::event(log::Level::debug, "multiget.taken", {{"multiget", mg.wire_id}, {"caller", asked.caller}});
-  const Span client_leaves = asked.sent_by + ask.patience;
+  const Duration client_leaves = asked.sent_by + ask.patience;
   mg.until = leave_by_ ? std::min(client_leaves, *leave_by_) : client_leaves;
   choice_.multiget_taken({id, static_cast<double>(number), ask.op_type, ask.customer,
                           static_cast<int>(mg.pieces.size()), mg.until, ask.repeated});
@@ -532,11 +532,11 @@
 void Gatherer::decided(const Verdict& verdict) {
   InHand* mg = hand_of(verdict.multiget);
   if (!must_hold(mg != nullptr && !mg->over, "one final answer for each multiget")) return;
-  const Span newest = std::max(mg->out > 0 ? mg->last_send : mg->last_given, mg->last_given);
-  const Span silent = servers_.silent_until();
-  const Span clear = (mg->out > 0 ? std::max(newest, silent) : newest) + kSlack;
+  const Duration newest = std::max(mg->out > 0 ? mg->last_send : mg->last_given, mg->last_given);
+  const Duration silent = servers_.silent_until();
+  const Duration clear = (mg->out > 0 ? std::max(newest, silent) : newest) + kSlack;
   if (loop_.now() > clear) return answered(*mg, verdict);
-  const Span tick = loop_.now() + commission_.carriage.tick;
+  const Duration tick = loop_.now() + commission_.carriage.tick;
   loop_.at(verdict.ending == Ending::answer ? std::max(tick, clear) : tick, [this, verdict] {
     InHand* late = hand_of(verdict.multiget);
     if (late != nullptr && !late->over) answered(*late, verdict);
@@ -552,7 +552,7 @@
   front::Front& its = *fronts_[mg.front];
   over(mg);
   if (totals::Count* count = counted(mg)) {
-    const Span took = loop_.now() - mg.began;
+    const Duration took = loop_.now() - mg.began;
     if (verdict.ending == Ending::answer) {
       count->answered += 1;
       count->whole += verdict.whole ? 1 : 0;
--- a/src/keeper/orders.cpp
+++ b/src/keeper/orders.cpp
@@ -137,7 +137,7 @@
   return out;
 }
 
-OrderVerdict check_order(const Order& order, const KeeperState& kept, Span wall, bool has_version) {
+OrderVerdict check_order(const Order& order, const KeeperState& kept, Duration wall, bool has_version) {
   if (kept.order) {
     const Order& last = *kept.order;
     if (order.epoch < last.epoch) return OrderVerdict::old_epoch;
--- a/src/keeper/orders.h
+++ b/src/keeper/orders.h
@@ -26,7 +26,7 @@
   std::string from;                        // of take: the absolute path of the directory to copy from
   std::optional<std::string> if_in_force;  // the order is refused where another version is in force
   std::int64_t not_after_ms = 0;           // wall clock; 0: no time limit
-  Span trial{};  // of use: rolled back unless confirmed within this; zero: no confirmation is needed
+  Duration trial{};  // of use: rolled back unless confirmed within this; zero: no confirmation is needed
 
   bool operator==(const Order&) const = default;
 };
@@ -96,6 +96,6 @@
 
 // Decides whether an order is accepted; changes nothing. `wall` is the present wall clock; `has_version` says
 // whether the version that the order names is complete on disk.
-OrderVerdict check_order(const Order& order, const KeeperState& state, Span wall, bool has_version);
+OrderVerdict check_order(const Order& order, const KeeperState& state, Duration wall, bool has_version);
 
 }  // namespace marbledyke::keeper
--- a/src/keeper/supervisor.cpp
+++ b/src/keeper/supervisor.cpp
@@ -246,7 +246,8 @@
 const char* name_of(SwapState swap) { return kSwapStateNames[place(swap)]; }
 const char* name_of(RunState will) { return kRunStateNames[place(will)]; }
 
-Supervisor::Supervisor(const SupervisorPolicy& policy, KeeperState kept, Span now, Span wall, double jitter)
+Supervisor::Supervisor(const SupervisorPolicy& policy, KeeperState kept, Duration now, Duration wall,
+                       double jitter)
     : policy_(policy), state_(std::move(kept)), now_(now), wall_(wall), last_tick_(now), jitter_(jitter) {}
 
 // ---- what it finds at its start ----
@@ -294,8 +295,8 @@
     return start_rollback(SwapState::rollback_reloading, SwapState::rollback_starting);
   }
   if (state_.outcome == Outcome::on_trial && swapping) {
-    const Span ran = std::clamp(wall_ - Span(std::chrono::milliseconds(state_.since_ms)), Span::zero(),
-                                state_.order->trial);
+    const Duration ran = std::clamp(wall_ - Duration(std::chrono::milliseconds(state_.since_ms)),
+                                    Duration::zero(), state_.order->trial);
     trial_until_ = now_ + state_.order->trial - ran;
     swap_ = SwapState::trial;
     swap_since_ = now_;
@@ -320,7 +321,7 @@
   return verdict;
 }
 
-KeeperState Supervisor::state_with(const KeeperState& kept, const Order& order, Span wall) {
+KeeperState Supervisor::state_with(const KeeperState& kept, const Order& order, Duration wall) {
   KeeperState out = kept;
   if (order.kind == OrderKind::use) {
     // What was on trial is not what one goes back to.
@@ -478,7 +479,7 @@
   out.runs = process.state != ProcessState::none;
   out.healthy = out.runs && process.state != ProcessState::starting &&
                 now_ - process.last_healthy <= policy_.silence_timeout;
-  if (!out.runs || process.last_taken == Span{}) return out;
+  if (!out.runs || process.last_taken == Duration{}) return out;
   const bool hears = now_ - process.last_report <= policy_.silence_timeout;
   out.answers = hears && (process.last_ended >= process.last_taken ||
                           now_ - process.no_progress_since < policy_.no_progress_timeout)
@@ -489,15 +490,15 @@
 
 // ---- time ----
 
-void Supervisor::tick(Span now, Span wall) {
-  const Span gap = now - last_tick_;
+void Supervisor::tick(Duration now, Duration wall) {
+  const Duration gap = now - last_tick_;
   now_ = now;
   wall_ = wall;
   last_tick_ = now;
   if (gap > policy_.stall_threshold) {
     // This process stood still; what it did not hear meanwhile says nothing about the gatherer.
     for (Process& process : processes_) {
-      for (Span* when :
+      for (Duration* when :
            {&process.since, &process.last_report, &process.last_healthy, &process.no_progress_since})
         *when += gap;
     }
@@ -508,14 +509,14 @@
     const Process& process = at(slot);
     if (process.state == ProcessState::serving && !is_sound(process)) on(slot, ProcessEvent::silent);
     if (process.state == ProcessState::hung && is_sound(process)) on(slot, ProcessEvent::responsive);
-    const Span limit =
+    const Duration limit =
         process.state == ProcessState::starting   ? policy_.start_timeout
         : process.state == ProcessState::hung     ? policy_.hung_timeout
         : process.state == ProcessState::stopping ? policy_.stop_timeout
         : process.state == ProcessState::killed_in_stop || process.state == ProcessState::killed_as_failed
             ? policy_.kill_retry_interval
-            : Span::max();
-    if (limit != Span::max() && now_ - process.since >= limit) on(slot, ProcessEvent::timed_out);
+            : Duration::max();
+    if (limit != Duration::max() && now_ - process.since >= limit) on(slot, ProcessEvent::timed_out);
   }
   if (run_state_ == RunState::backing_off && now_ >= backoff_until_) on(RunEvent::backoff_elapsed);
   const Process& lead = at(primary_);
@@ -525,7 +526,7 @@
   if (swap_ == SwapState::proving || swap_ == SwapState::rollback_proving) {
     const std::string& wants = swap_ == SwapState::proving ? target_.configuration : former_.configuration;
     // One that was asked has to have ended something, too.
-    const bool answers = lead.last_taken == Span{} || lead.last_ended >= lead.last_taken;
+    const bool answers = lead.last_taken == Duration{} || lead.last_ended >= lead.last_taken;
     const bool is =
         lead.state == ProcessState::serving && is_sound(lead) && answers && lead.configuration == wants;
     if (is && !is_sound_now_) sound_since_ = now_;
@@ -675,16 +676,17 @@
     case RunReaction::back_off: {
       // The first start after a sound life is at once; each further one in a row waits twice as long.
       const double doublings = std::min(state_.crash_score - 2, 20.0);
-      Span wait{};
+      Duration wait{};
       if (state_.crash_score > 1.5)
-        wait = std::min(Span(static_cast<std::int64_t>(static_cast<double>(policy_.initial_backoff.count()) *
-                                                       std::exp2(doublings) * (1 + jitter_))),
-                        policy_.max_backoff);
+        wait =
+            std::min(Duration(static_cast<std::int64_t>(static_cast<double>(policy_.initial_backoff.count()) *
+                                                        std::exp2(doublings) * (1 + jitter_))),
+                     policy_.max_backoff);
       backoff_until_ = now_ + wait;
       emit(Action::Type::log, primary_, state_.in_force,
            "starts again in " + std::to_string(wait / 1ms) + " ms");
       persist_state();
-      if (wait <= Span::zero()) on(RunEvent::backoff_elapsed);
+      if (wait <= Duration::zero()) on(RunEvent::backoff_elapsed);
       return;
     }
     case RunReaction::give_up:
@@ -764,7 +766,7 @@
       return start_when_slot_free();
     case SwapReaction::begin_proving:
       at(primary_).version = state_.in_force;
-      at(primary_).last_taken = at(primary_).last_ended = Span{};
+      at(primary_).last_taken = at(primary_).last_ended = Duration{};
       emit(Action::Type::record_version, primary_, state_.in_force);
       swap_ = transition.starting;
       swap_since_ = now_;
@@ -781,7 +783,7 @@
       return;
     }
     case SwapReaction::complete:
-      if (state_.order && state_.order->kind == OrderKind::use && state_.order->trial > Span::zero()) {
+      if (state_.order && state_.order->kind == OrderKind::use && state_.order->trial > Duration::zero()) {
         swap_ = SwapState::trial;
         trial_until_ = now_ + state_.order->trial;
         return set_outcome(Outcome::on_trial, "");
--- a/src/keeper/supervisor.h
+++ b/src/keeper/supervisor.h
@@ -22,20 +22,20 @@
 using namespace std::chrono_literals;
 
 struct SupervisorPolicy {
-  Span start_timeout = 10s;           // from the start of a process until it serves
-  Span reload_timeout = 5s;           // from SIGHUP until the process reports the result
-  Span proving_period = 3s;           // a version that was healthy for this long is proved
-  Span proving_timeout = 15s;         // a version has to be proved within this
-  Span silence_timeout = 3s;          // processes report each second; one that is silent for this is hung
-  Span no_progress_timeout = 10s;     // so is one that takes multigets for this long and ends none
-  Span hung_timeout = 10s;            // then it is killed
-  Span stop_timeout = 6s;             // an ordered stop takes 3.7 s at most
-  Span kill_retry_interval = 2s;      // between two SIGKILLs to a process that has not ended
-  Span initial_backoff = 200ms;       // before the second restart in a row; the first is immediate
-  Span max_backoff = 30s;             // the backoff doubles with each restart up to this
-  double max_crash_score = 8;         // no restarts from this score on
-  Span crash_score_decay_time = 60s;  // an uptime of this takes 1 off the crash score
-  Span stall_threshold = 1s;          // a tick that is this late: the keeper itself was paused
+  Duration start_timeout = 10s;           // from the start of a process until it serves
+  Duration reload_timeout = 5s;           // from SIGHUP until the process reports the result
+  Duration proving_period = 3s;           // a version that was healthy for this long is proved
+  Duration proving_timeout = 15s;         // a version has to be proved within this
+  Duration silence_timeout = 3s;          // processes report each second; one that is silent for this is hung
+  Duration no_progress_timeout = 10s;     // so is one that takes multigets for this long and ends none
+  Duration hung_timeout = 10s;            // then it is killed
+  Duration stop_timeout = 6s;             // an ordered stop takes 3.7 s at most
+  Duration kill_retry_interval = 2s;      // between two SIGKILLs to a process that has not ended
+  Duration initial_backoff = 200ms;       // before the second restart in a row; the first is immediate
+  Duration max_backoff = 30s;             // the backoff doubles with each restart up to this
+  double max_crash_score = 8;             // no restarts from this score on
+  Duration crash_score_decay_time = 60s;  // an uptime of this takes 1 off the crash score
+  Duration stall_threshold = 1s;          // a tick that is this late: the keeper itself was paused
 };
 
 inline constexpr int kSlots = 2;
@@ -128,7 +128,7 @@
 class Supervisor {
  public:
   // `jitter` from 0 to 1: the share by which this keeper's backoffs are longer.
-  Supervisor(const SupervisorPolicy& policy, KeeperState state, Span now, Span wall, double jitter);
+  Supervisor(const SupervisorPolicy& policy, KeeperState state, Duration now, Duration wall, double jitter);
 
   // Reports a gatherer that was already running when the keeper started. Before resume().
   void on_process_adopted(int slot, const std::string& version, const VersionInfo& info);
@@ -140,7 +140,7 @@
   // for is under way.
   OrderVerdict evaluate(const Order& order, bool has_version) const;
   // Returns the state to persist for an order that evaluate() accepted.
-  static KeeperState state_with(const KeeperState& state, const Order& order, Span wall);
+  static KeeperState state_with(const KeeperState& state, const Order& order, Duration wall);
   // Carries out an accepted order after `state` has been persisted.
   void accept(const Order& order, KeeperState state, const VersionInfo& target, const VersionInfo& former);
   // Reports the end of a take, drop or try order; an empty `error` means success.
@@ -157,7 +157,7 @@
   void on_reload_result(int slot, bool accepted, bool needs_restart, const std::string& why);
   void on_health_result(bool good);
   void on_state_written(bool written);
-  void tick(Span now, Span wall);
+  void tick(Duration now, Duration wall);
   // Shuts the keeper down together with its gatherers.
   void shut_down();
   bool is_shut_down() const {
@@ -179,7 +179,7 @@
   SwapState swap_state() const { return swap_; }
   RunState run_state() const { return run_state_; }
   // The time of the next restart while backing off.
-  std::optional<Span> next_start_at() const {
+  std::optional<Duration> next_start_at() const {
     return run_state_ == RunState::backing_off ? std::optional(backoff_until_) : std::nullopt;
   }
   Health health_of(int slot) const;
@@ -191,13 +191,13 @@
     ProcessState state = ProcessState::none;
     std::string version;
     VersionInfo info;
-    Span since{};  // start of the present state
-    Span started{};
-    Span last_report{}, last_healthy{};
-    Span last_taken{},
-        last_ended{};           // reports of the newest windows with a multiget taken, and with one ended
-    Span no_progress_since{};   // no multiget taken since then has ended
-    std::string configuration;  // digest, from the last window
+    Duration since{};  // start of the present state
+    Duration started{};
+    Duration last_report{}, last_healthy{};
+    Duration last_taken{},
+        last_ended{};              // reports of the newest windows with a multiget taken, and with one ended
+    Duration no_progress_since{};  // no multiget taken since then has ended
+    std::string configuration;     // digest, from the last window
   };
 
   void on(int slot, ProcessEvent event, const std::string& why = {});
@@ -219,18 +219,18 @@
 
   SupervisorPolicy policy_;
   KeeperState state_;
-  Span now_{}, wall_{}, last_tick_{};
+  Duration now_{}, wall_{}, last_tick_{};
   double jitter_;
   std::array<Process, kSlots> processes_;
   int primary_ = 0;  // the slot of the process that serves, or that served last
   int newest_ = 0;   // the slot of the process that was started last
   SwapState swap_ = SwapState::none;
   RunState run_state_ = RunState::off;
-  Span swap_since_{};
-  Span sound_since_{};
+  Duration swap_since_{};
+  Duration sound_since_{};
   bool is_sound_now_ = false;
-  Span backoff_until_{};
-  Span trial_until_{};
+  Duration backoff_until_{};
+  Duration trial_until_{};
   VersionInfo target_, former_;
   std::string swap_failure_;
   std::optional<int> start_pending_;  // the slot that a start waits for until the process in it has ended
--- a/src/totals/totals.cpp
+++ b/src/totals/totals.cpp
@@ -41,7 +41,7 @@
 Latencies::Latencies(Latencies&&) noexcept = default;
 Latencies& Latencies::operator=(Latencies&&) noexcept = default;
 
-void Latencies::add(Span value) {
+void Latencies::add(Duration value) {
   if (!held_) held_ = std::make_unique<Held>();
   held_->of(static_cast<double>(std::max<std::int64_t>(value.count(), 1)));
 }
@@ -60,9 +60,9 @@
   return out;
 }
 
-Span Latencies::at(double share) const {
+Duration Latencies::at(double share) const {
   const std::uint64_t all = count();
-  if (all == 0) return Span{};
+  if (all == 0) return Duration{};
   const auto wanted = std::clamp<std::uint64_t>(
       static_cast<std::uint64_t>(std::ceil(share * static_cast<double>(all))), 1, all);
   std::uint64_t sum = 0;
@@ -70,13 +70,13 @@
     sum += held_->of.at(i);
     if (sum >= wanted) {
       const double edge = i < 0 ? kLeast : i == kBuckets ? kMost : held_->of.axis().bin(i).upper();
-      return Span(static_cast<std::int64_t>(edge));
+      return Duration(static_cast<std::int64_t>(edge));
     }
   }
-  return Span{};
+  return Duration{};
 }
 
-std::uint64_t Latencies::above(Span value) const {
+std::uint64_t Latencies::above(Duration value) const {
   std::uint64_t out = 0;
   if (!held_) return out;
   const int from = held_->of.axis().index(static_cast<double>(std::max<std::int64_t>(value.count(), 1)));
--- a/src/totals/totals.h
+++ b/src/totals/totals.h
@@ -24,13 +24,13 @@
   Latencies(Latencies&&) noexcept;
   Latencies& operator=(Latencies&&) noexcept;
 
-  void add(Span value);
+  void add(Duration value);
   void merge(const Latencies& other);
   std::uint64_t count() const;
   // The upper edge of the bucket in which that share of the values is reached; zero without values.
-  Span at(double share) const;
+  Duration at(double share) const;
   // Values in buckets that lie wholly above it.
-  std::uint64_t above(Span value) const;
+  std::uint64_t above(Duration value) const;
 
   // Pairs of bucket and count, those that are not empty. Reading throws config::BadInput.
   nlohmann::json put() const;
