--- a/src/disk/disk.h
+++ b/src/disk/disk.h
@@ -1,7 +1,9 @@
-// Files as far as a keeper writes them, through one interface, so that the lab can give a process a disk that
-// is full, slow, read-only, tears or lies. What must survive goes through replace(): written beside, synced,
-// renamed over, and the folder synced; after a crash at any point the old text or the new one is there,
-// whole. All throw DiskError, whose text names the path.
+// File operations of the programs that persist state, behind one interface: a test can substitute a disk that
+// is full, slow or read-only, that tears a write or that reports success for a write that it lost.
+//
+// State that must survive a crash is written with replace_file(): to a temporary file next to the target,
+// synced, renamed over the target, and the directory synced. After a crash at any point the file holds either
+// the old text or the new one, complete.
 #pragma once
 
 #include <cstdint>
@@ -14,11 +16,12 @@
 
 namespace marbledyke::disk {
 
+// The error that all operations throw; the text names the path.
 struct DiskError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// A file being written; given up unless it was synced.
+// A file that is open for writing. What has not been synced may be lost.
 class File {
  public:
   virtual ~File() = default;
@@ -30,26 +33,32 @@
  public:
   virtual ~Disk() = default;
 
-  virtual std::unique_ptr<File> create_file(const std::string& path, unsigned mode) = 0;  // empty, or emptied
+  // Creates an empty file, or truncates the one that is there.
+  virtual std::unique_ptr<File> create_file(const std::string& path, unsigned mode) = 0;
   virtual void rename(const std::string& from, const std::string& to) = 0;
   virtual void sync_directory(const std::string& path) = 0;
-  virtual void make_directory(const std::string& path) = 0;  // nothing where it is there
+  // Does nothing where the directory exists.
+  virtual void make_directory(const std::string& path) = 0;
+  // Removes a file or a directory tree; does nothing where there is none.
   virtual void remove_all(const std::string& path) = 0;
-  virtual void create_symlink(const std::string& to,
-                              const std::string& path) = 0;  // a symbolic one, must not be there
+  // Throws where `path` exists.
+  virtual void create_symlink(const std::string& to, const std::string& path) = 0;
 
-  // Reading has no faults of its own beyond the machine's.
-  virtual std::optional<std::string> read_file(const std::string& path,
-                                               std::size_t most) = 0;            // none: not there
-  virtual std::vector<std::string> list_directory(const std::string& path) = 0;  // sorted
+  // Test disks inject no faults into reads.
 
+  // Returns none where there is no such file; throws where it has more than `most` bytes.
+  virtual std::optional<std::string> read_file(const std::string& path, std::size_t most) = 0;
+  // Returns the names in a directory, sorted; none where there is no such directory.
+  virtual std::vector<std::string> list_directory(const std::string& path) = 0;
+
+  // Replace a file or a symbolic link atomically and durably.
   void replace_file(const std::string& path, std::string_view text, unsigned mode = 0644);
   void replace_symlink(const std::string& to, const std::string& path);
 };
 
 std::string parent_directory(const std::string& path);
 
-// The machine's own.
+// The local file system.
 class LocalDisk : public Disk {
  public:
   std::unique_ptr<File> create_file(const std::string& path, unsigned mode) override;
--- a/src/fail_points/fail_points.h
+++ b/src/fail_points/fail_points.h
@@ -1,5 +1,5 @@
-// Named points of the code at which the lab can end or stop a process. In what is shipped, reach() does
-// nothing: the lab's programs are the same libraries linked with another version of it.
+// Named points in the code at which a test can kill or stop the process. In the shipped programs hit() does
+// nothing; the test programs link the same libraries with another implementation of it.
 #pragma once
 
 namespace marbledyke::fail_points {
--- a/src/keeper/control_address.h
+++ b/src/keeper/control_address.h
@@ -1,4 +1,5 @@
-// Where a control address may be, for the keeper that opens it and the tools that are told of it.
+// The rule for control addresses, shared by the programs that listen on one and the tools that connect to
+// one.
 #pragma once
 
 #include <string>
@@ -7,8 +8,8 @@
 
 namespace marbledyke::keeper {
 
-// Why nobody may be let in there: wildcard and public addresses. Empty: loopback, a private address (RFC
-// 1918, RFC 4193, link-local) or a Unix socket.
+// Returns what kind of forbidden address this is (a wildcard or a public one); empty where it is allowed: a
+// loopback address, a private one (RFC 1918, RFC 4193, link-local) or a Unix socket.
 std::string control_address_error(const net::Address& address);
 
 }  // namespace marbledyke::keeper
--- a/src/keeper/control.h
+++ b/src/keeper/control_server.h
@@ -1,4 +1,4 @@
-// The control address of a keeper: JSON over HTTP/1.1 with an answer at once to each request.
+// The control interface of a keeper: JSON over HTTP/1.1. Each request is answered at once.
 #pragma once
 
 #include <functional>
@@ -10,16 +10,16 @@
 
 using Reply = net::JsonReply;
 
-class Control {
+class ControlServer {
  public:
-  using Asked =
+  using Handler =
       std::function<Reply(const std::string& method, const std::string& target, const std::string& body)>;
 
-  // Throws std::system_error where it cannot listen. A Unix socket that a former life left is replaced.
-  Control(net::Loop& loop, const net::Address& address, Asked asked);
+  // Throws std::system_error where it cannot listen. Replaces the Unix socket that an earlier process left.
+  ControlServer(net::Loop& loop, const net::Address& address, Handler handler);
 
  private:
-  Asked asked_;
+  Handler handler_;
   net::JsonServer server_;
 };
 
--- a/src/keeper/keeper.h
+++ b/src/keeper/keeper.h
@@ -1,5 +1,5 @@
-// The keeper of one machine's gatherer: carries out what keeper::Supervisor decides, over processes, files
-// and the control address, and tells it what happens. Decides nothing itself.
+// The keeper of one machine's gatherer: carries out the actions of keeper::Supervisor on processes, files and
+// the control interface, and reports events to it. Makes no decisions itself.
 #pragma once
 
 #include <functional>
@@ -8,11 +8,11 @@
 #include <string>
 
 #include "disk/disk.h"
-#include "keeper/child.h"
-#include "keeper/control.h"
-#include "keeper/settings_keeper.h"
+#include "keeper/control_server.h"
+#include "keeper/fleet_settings.h"
+#include "keeper/gatherer_process.h"
 #include "keeper/supervisor.h"
-#include "keeper/tryout.h"
+#include "keeper/version_check.h"
 #include "keeper/versions.h"
 #include "net/loop.h"
 #include "totals/totals.h"
@@ -24,55 +24,57 @@
   std::string folder;
   net::Address control;
   SupervisorPolicy policy;
-  SettingsOptions settings;
+  FleetSettingsOptions settings;
 };
 
 class Keeper {
  public:
-  // Throws std::system_error, disk::DiskError or config::BadInput; among others where another keeper has the
-  // folder.
+  // Throws std::system_error, disk::DiskError or config::BadInput; among other causes where another keeper
+  // uses the directory.
   Keeper(net::Loop& loop, disk::Disk& disk, const Options& options);
   ~Keeper();
   Keeper(const Keeper&) = delete;
   Keeper& operator=(const Keeper&) = delete;
 
-  void leave();  // in order, with its gatherer
-  bool running() const { return !left_; }
+  // Begins an orderly shutdown together with the gatherer; is_running() turns false at its end.
+  void shut_down();
+  bool is_running() const { return !stopped_; }
 
-  Reply asked(const std::string& method, const std::string& target, const std::string& body);
+  // Answers a request to the control interface.
+  Reply on_request(const std::string& method, const std::string& target, const std::string& body);
 
  private:
   struct Slot {
-    std::unique_ptr<Child> child;
+    std::unique_ptr<GathererProcess> process;
     totals::Series series;
-    std::int64_t began_ms = 0;
-    bool stopping = false;
-    bool felled = false;  // by this keeper, because it hung or did not come up
-    std::uint64_t unreadable = 0, windows = 0, missed = 0, number = 0;
+    std::int64_t started_ms = 0;  // wall clock
+    bool stop_ordered = false;
+    bool killed_by_keeper = false;  // it hung, or did not start or stop in time
+    std::uint64_t unreadable_lines = 0, windows = 0, missed_windows = 0, last_window_number = 0;
     std::uint64_t events = 0;
-    std::string waits;  // settings that wait for a start, since the last SIGHUP
+    std::string pending_settings;  // take effect at the next start; since the last SIGHUP
   };
 
-  void carry_out();
-  bool write(const KeeperState& kept);
-  void begin(int slot, const std::string& version);
+  void carry_out_actions();
+  bool write_state(const KeeperState& state);
+  void start_process(int slot, const std::string& version);
   int listener_for(const std::string& version);
-  std::string listen_of(const std::string& version) const;
-  void line(int slot, const std::string& text);
-  void ask_health();
-  void beat();
-  void start_settings();
-  Host host() const;
-  void tick_settings();
-  void tell_settings_ended(int slot, const std::string& how);
-  void hup(int slot);
-  void send_hup_that_waited();
-  void read_said(int slot, bool taken, std::optional<std::int64_t> index, const std::string& why);
-  void take_some();
-  void try_out(const std::string& version);
-  Reply order(const std::string& body);
+  std::string listen_address_of(const std::string& version) const;
+  void on_event_line(int slot, const std::string& text);
+  void check_health();
+  void on_timer();
+  void start_fleet_settings();
+  GathererStatus gatherer_status() const;
+  void tick_fleet_settings();
+  void report_exit_to_fleet_settings(int slot, const std::string& how);
+  void reload(int slot);
+  void send_deferred_reload();
+  void on_reload_result(int slot, bool accepted, std::optional<std::int64_t> index, const std::string& why);
+  void copy_next_block();
+  void check_version(const std::string& version);
+  Reply on_order(const std::string& body);
   std::string status() const;
-  std::uint64_t room_bytes() const;
+  std::uint64_t free_bytes() const;
   std::string windows(std::int64_t from_ms) const;
 
   net::Loop& loop_;
@@ -81,22 +83,22 @@
   net::Descriptor lock_;
   Versions versions_;
   std::unique_ptr<Supervisor> supervisor_;
-  std::unique_ptr<SettingsKeeper> settings_;  // of the fleet; none where no control node was named
-  std::optional<int> hup_waits_;              // the slot; until the gatherer has read the fleet's settings
+  std::unique_ptr<FleetSettings> settings_;  // none where no control node was named
+  std::optional<int> deferred_reload_;       // the slot; until the gatherer has reloaded the fleet's settings
   Slot slots_[kSlots];
-  std::string listening_;  // the address of the socket that clients connect to, and the socket
+  std::string listen_address_;  // of listener_, the socket that clients connect to
   net::Descriptor listener_;
-  std::unique_ptr<Control> control_;
-  std::unique_ptr<Versions::Taking> taking_;
-  std::unique_ptr<Tryout> trying_;
-  std::unique_ptr<net::Stream> health_;
-  std::vector<std::unique_ptr<net::Stream>> graves_;
-  bool health_said_ = false;
-  Duration health_next_{};
+  std::unique_ptr<ControlServer> control_;
+  std::unique_ptr<Versions::Copier> copier_;
+  std::unique_ptr<VersionCheck> version_check_;
+  std::unique_ptr<net::Stream> health_call_;
+  std::vector<std::unique_ptr<net::Stream>> closed_calls_;  // destroyed in the next turn
+  bool health_answered_ = false;
+  Duration next_health_check_{};
   std::int64_t since_ms_ = 0;
-  std::string state_wrong_, write_wrong_;  // why the kept state could not be read, or written
-  std::optional<net::Loop::Timer> beat_;
-  bool carrying_ = false, left_ = false;
+  std::string state_error_, write_error_;  // why the state could not be read, or written
+  std::optional<net::Loop::Timer> timer_;
+  bool is_carrying_out_ = false, stopped_ = false;
 };
 
 }  // namespace marbledyke::keeper
--- a/src/keeper/orders.cpp
+++ b/src/keeper/orders.cpp
@@ -21,16 +21,16 @@
 constexpr std::array<const char*, kOrderVerdicts> kOrderVerdictNames{
     "taken",           "old_epoch",          "late",    "repeated", "contradicts", "other", "busy",
     "unknown_version", "nothing_to_confirm", "not_kept"};
-constexpr int kFormat = 1;
-constexpr std::int64_t kLongestTrialMs = 7 * 24 * 3600 * 1000LL;
+constexpr int kStateFormat = 1;
+constexpr std::int64_t kMaxTrialMs = 7 * 24 * 3600 * 1000LL;
 
-std::uint64_t natural(const json& from, const char* field) {
+std::uint64_t unsigned_integer(const json& from, const char* field) {
   const std::int64_t value = config::whole(from, field);
   if (value < 0) throw BadInput(std::string(field) + ": is negative");
   return static_cast<std::uint64_t>(value);
 }
 
-std::string checksum(const std::string& text) {
+std::string checksum_of(const std::string& text) {
   char out[17];
   std::snprintf(out, sizeof out, "%016llx",
                 static_cast<unsigned long long>(XXH3_64bits(text.data(), text.size())));
@@ -59,16 +59,16 @@
 Order parse_order(const json& from) {
   if (!from.is_object()) throw BadInput("the order is not an object");
   Order out;
-  out.epoch = natural(from, "epoch");
-  out.number = natural(from, "number");
+  out.epoch = unsigned_integer(from, "epoch");
+  out.number = unsigned_integer(from, "number");
   const std::string& kind = config::text(from, "order");
-  int place = 0;
-  while (place < kOrderKinds && kind != kOrderKindNames[static_cast<std::size_t>(place)]) ++place;
-  if (place == kOrderKinds) throw BadInput("order: not use, run, stop, confirm, take, drop or try: " + kind);
-  out.kind = static_cast<OrderKind>(place);
-  const bool names = out.kind == OrderKind::use || out.kind == OrderKind::take ||
-                     out.kind == OrderKind::drop || out.kind == OrderKind::try_out;
-  if (names) {
+  int index = 0;
+  while (index < kOrderKinds && kind != kOrderKindNames[static_cast<std::size_t>(index)]) ++index;
+  if (index == kOrderKinds) throw BadInput("order: not use, run, stop, confirm, take, drop or try: " + kind);
+  out.kind = static_cast<OrderKind>(index);
+  const bool has_version = out.kind == OrderKind::use || out.kind == OrderKind::take ||
+                           out.kind == OrderKind::drop || out.kind == OrderKind::try_out;
+  if (has_version) {
     out.version = config::text(from, "version");
     if (!is_version_name(out.version)) throw BadInput("version: not a version's name: " + out.version);
   }
@@ -79,7 +79,7 @@
   if (from.contains("if_in_force")) out.if_in_force = config::text(from, "if_in_force");
   out.not_after_ms = config::whole_or(from, "not_after_ms", 0);
   const std::int64_t trial = config::whole_or(from, "trial_ms", 0);
-  if (trial < 0 || trial > kLongestTrialMs) throw BadInput("trial_ms: out of range");
+  if (trial < 0 || trial > kMaxTrialMs) throw BadInput("trial_ms: out of range");
   if (trial > 0 && out.kind != OrderKind::use) throw BadInput("trial_ms: only of the order use");
   out.trial = std::chrono::milliseconds(trial);
   return out;
@@ -95,32 +95,32 @@
   return out;
 }
 
-std::string serialize(const KeeperState& kept) {
-  json body = {{"wanted", kept.should_run},
-               {"in_force", kept.in_force},
-               {"former", kept.former},
-               {"outcome", name_of(kept.outcome)},
-               {"why", kept.why},
-               {"since_ms", kept.since_ms},
-               {"starts", kept.starts},
-               {"ends", kept.unplanned_exits},
-               {"strikes", kept.crash_score},
-               {"gave_up", kept.gave_up}};
-  if (kept.order) body["order"] = to_json(*kept.order);
+std::string serialize(const KeeperState& state) {
+  json body = {{"wanted", state.should_run},
+               {"in_force", state.in_force},
+               {"former", state.former},
+               {"outcome", name_of(state.outcome)},
+               {"why", state.why},
+               {"since_ms", state.since_ms},
+               {"starts", state.starts},
+               {"ends", state.unplanned_exits},
+               {"strikes", state.crash_score},
+               {"gave_up", state.gave_up}};
+  if (state.order) body["order"] = to_json(*state.order);
   const std::string text = body.dump();
-  return json{{"format", kFormat}, {"checksum", checksum(text)}}.dump() + "\n" + text + "\n";
+  return json{{"format", kStateFormat}, {"checksum", checksum_of(text)}}.dump() + "\n" + text + "\n";
 }
 
 KeeperState parse_state(const std::string& text) {
   const std::size_t end = text.find('\n');
   if (end == std::string::npos || text.empty() || text.back() != '\n' || end + 1 >= text.size())
     throw BadInput("kept state: is torn");
-  const json head = config::parse(std::string_view(text).substr(0, end));
-  if (!head.is_object()) throw BadInput("kept state: has no head");
-  if (const std::int64_t format = config::whole(head, "format"); format != kFormat)
+  const json header = config::parse(std::string_view(text).substr(0, end));
+  if (!header.is_object()) throw BadInput("kept state: has no head");
+  if (const std::int64_t format = config::whole(header, "format"); format != kStateFormat)
     throw BadInput("kept state: format " + std::to_string(format) + " is not this program's");
   const std::string body_text = text.substr(end + 1, text.size() - end - 2);
-  if (config::text(head, "checksum") != checksum(body_text)) throw BadInput("kept state: is damaged");
+  if (config::text(header, "checksum") != checksum_of(body_text)) throw BadInput("kept state: is damaged");
   const json body = config::parse(body_text);
   KeeperState out;
   out.should_run = body.at("wanted").get<bool>();
@@ -130,44 +130,44 @@
   out.outcome = parse_outcome(config::text(body, "outcome")).value_or(Outcome::none);
   out.why = config::text(body, "why");
   out.since_ms = config::whole(body, "since_ms");
-  out.starts = natural(body, "starts");
-  out.unplanned_exits = natural(body, "ends");
+  out.starts = unsigned_integer(body, "starts");
+  out.unplanned_exits = unsigned_integer(body, "ends");
   out.crash_score = config::number(body.at("strikes"), "strikes");
   out.gave_up = body.at("gave_up").get<bool>();
   return out;
 }
 
-OrderVerdict check_order(const Order& order, const KeeperState& kept, Duration wall, bool has_version) {
-  if (kept.order) {
-    const Order& last = *kept.order;
+OrderVerdict check_order(const Order& order, const KeeperState& state, Duration wall, bool has_version) {
+  if (state.order) {
+    const Order& last = *state.order;
     if (order.epoch < last.epoch) return OrderVerdict::old_epoch;
     if (order.epoch == last.epoch) {
       if (order.number < last.number) return OrderVerdict::late;
-      // What it must not be later than may be said anew with each repetition.
-      Order same = order;
-      same.not_after_ms = last.not_after_ms;
+      // A repetition may state a new time limit.
+      Order repetition = order;
+      repetition.not_after_ms = last.not_after_ms;
       if (order.number == last.number)
-        return same == last ? OrderVerdict::repeated : OrderVerdict::contradicts;
+        return repetition == last ? OrderVerdict::repeated : OrderVerdict::contradicts;
     }
   }
   if (order.not_after_ms != 0 && wall > std::chrono::milliseconds(order.not_after_ms))
     return OrderVerdict::late;
-  if (order.if_in_force && *order.if_in_force != kept.in_force) return OrderVerdict::other_version_in_force;
+  if (order.if_in_force && *order.if_in_force != state.in_force) return OrderVerdict::other_version_in_force;
   if (order.kind == OrderKind::confirm)
-    return kept.outcome == Outcome::on_trial ? OrderVerdict::accepted : OrderVerdict::nothing_to_confirm;
-  // A stop is never too early; all else waits for the end of what is under way, and what is on trial may only
-  // be confirmed or replaced.
+    return state.outcome == Outcome::on_trial ? OrderVerdict::accepted : OrderVerdict::nothing_to_confirm;
+  // A stop is accepted at any time. All other orders have to wait for the end of the one under way, and a
+  // version on trial can only be confirmed or replaced.
   if (order.kind != OrderKind::stop &&
-      (kept.outcome == Outcome::under_way || kept.outcome == Outcome::rolling_back))
+      (state.outcome == Outcome::under_way || state.outcome == Outcome::rolling_back))
     return OrderVerdict::busy;
-  if (order.kind != OrderKind::stop && order.kind != OrderKind::use && kept.outcome == Outcome::on_trial)
+  if (order.kind != OrderKind::stop && order.kind != OrderKind::use && state.outcome == Outcome::on_trial)
     return OrderVerdict::busy;
   if (order.kind == OrderKind::use && !has_version) return OrderVerdict::unknown_version;
   if ((order.kind == OrderKind::drop || order.kind == OrderKind::try_out) && !has_version)
     return OrderVerdict::unknown_version;
-  if (order.kind == OrderKind::drop && (order.version == kept.in_force || order.version == kept.former))
+  if (order.kind == OrderKind::drop && (order.version == state.in_force || order.version == state.former))
     return OrderVerdict::busy;
-  if (order.kind == OrderKind::run && kept.in_force.empty()) return OrderVerdict::unknown_version;
+  if (order.kind == OrderKind::run && state.in_force.empty()) return OrderVerdict::unknown_version;
   return OrderVerdict::accepted;
 }
 
--- a/src/keeper/program.cpp
+++ b/src/keeper/program.cpp
@@ -15,20 +15,21 @@
 namespace marbledyke::keeper {
 namespace {
 
-void duration(CLI::App& app, const char* name, Duration& into, const char* what) {
+void add_duration(CLI::App& app, const char* name, Duration& value, const char* description) {
   app.add_option_function<double>(
-         name, [&into](const double& s) { into = Duration(static_cast<std::int64_t>(s * 1e6)); },
-         std::string(what) + ", in seconds (" + std::to_string(static_cast<double>(into.count()) / 1e6) + ")")
+         name, [&value](const double& s) { value = Duration(static_cast<std::int64_t>(s * 1e6)); },
+         std::string(description) + ", in seconds (" +
+             std::to_string(static_cast<double>(value.count()) / 1e6) + ")")
       ->check(CLI::Range(0.01, 3600.0));
 }
 
-std::vector<net::Address> read_control_nodes(const std::vector<std::string>& stated) {
+std::vector<net::Address> parse_control_nodes(const std::vector<std::string>& texts) {
   std::vector<net::Address> out;
-  for (const std::string& each : stated) {
-    const auto address = net::parse_address(each);
-    if (!address) throw config::BadInput("--control-node: not an address: " + each);
+  for (const std::string& text : texts) {
+    const auto address = net::parse_address(text);
+    if (!address) throw config::BadInput("--control-node: not an address: " + text);
     if (const std::string why = control_address_error(*address); !why.empty())
-      throw config::BadInput("--control-node: " + each + " is " + why);
+      throw config::BadInput("--control-node: " + text + " is " + why);
     out.push_back(*address);
   }
   return out;
@@ -36,45 +37,47 @@
 
 }  // namespace
 
-int run(int count, char** words, disk::Disk& disk, const TimeSource& clock) {
+int run(int argc, char** argv, disk::Disk& disk, const TimeSource& clock) {
   CLI::App app("Keeps the gatherer of this machine: versions, swaps on order, restarts, totals.");
   app.set_version_flag("--version", "marbledyke " MARBLEDYKE_VERSION);
   Options options;
-  std::string control, log_form = "plain";
+  std::string control, log_format = "plain";
   app.add_option("--folder", options.folder, "Its folder; one keeper each")->required();
   app.add_option("--control", control, "Where it takes orders: loopback, a private address, unix:/PATH")
       ->required();
   app.add_option("--name", options.name, "Its name in the fleet")->required();
-  app.add_option("--log", log_form, "plain or json")->check(CLI::IsMember({"plain", "json"}));
+  app.add_option("--log", log_format, "plain or json")->check(CLI::IsMember({"plain", "json"}));
   std::vector<std::string> control_nodes;
-  SettingsOptions& settings = options.settings;
+  FleetSettingsOptions& settings = options.settings;
   app.add_option("--control-node", control_nodes,
                  "Where a control node serves the fleet's settings; once for each, the own region's first");
   app.add_option("--preferred-control-nodes", settings.preferred, "How many of them are of the own region")
       ->check(CLI::Range(std::size_t{1}, std::size_t{64}));
   app.add_option("--fleet", settings.fleet, "Whose settings these are; with --control-node");
   app.add_option("--zone", settings.zone, "Where it stands; with --control-node");
-  SupervisorPolicy& p = options.policy;
-  duration(app, "--start-limit", p.start_timeout, "A process serves within this from its begin");
-  duration(app, "--prove", p.proving_period, "What was swapped has to be sound for so long");
-  duration(app, "--prove-limit", p.proving_timeout, "and within this");
-  duration(app, "--silent-after", p.silence_timeout, "Without a word for this it hangs");
-  duration(app, "--mute-after", p.no_progress_timeout, "Takes multigets for so long and ends none: it hangs");
-  duration(app, "--hung-limit", p.hung_timeout, "One that hangs is ended after this");
-  duration(app, "--first-wait", p.initial_backoff, "Before the second start in a row; doubles with each");
-  duration(app, "--longest-wait", p.max_backoff, "and is this at most");
-  duration(app, "--strike-fades", p.crash_score_decay_time, "A life of this makes up for one end");
-  app.add_option("--most-strikes", p.max_crash_score, "Ends that count until it gives up")
+  SupervisorPolicy& policy = options.policy;
+  add_duration(app, "--start-limit", policy.start_timeout, "A process serves within this from its begin");
+  add_duration(app, "--prove", policy.proving_period, "What was swapped has to be sound for so long");
+  add_duration(app, "--prove-limit", policy.proving_timeout, "and within this");
+  add_duration(app, "--silent-after", policy.silence_timeout, "Without a word for this it hangs");
+  add_duration(app, "--mute-after", policy.no_progress_timeout,
+               "Takes multigets for so long and ends none: it hangs");
+  add_duration(app, "--hung-limit", policy.hung_timeout, "One that hangs is ended after this");
+  add_duration(app, "--first-wait", policy.initial_backoff,
+               "Before the second start in a row; doubles with each");
+  add_duration(app, "--longest-wait", policy.max_backoff, "and is this at most");
+  add_duration(app, "--strike-fades", policy.crash_score_decay_time, "A life of this makes up for one end");
+  app.add_option("--most-strikes", policy.max_crash_score, "Ends that count until it gives up")
       ->check(CLI::Range(2.0, 1000.0));
-  CLI11_PARSE(app, count, words);
+  CLI11_PARSE(app, argc, argv);
 
-  sigset_t heeded;
-  sigemptyset(&heeded);
-  for (const int one : {SIGTERM, SIGINT}) sigaddset(&heeded, one);
-  sigprocmask(SIG_BLOCK, &heeded, nullptr);
+  sigset_t signals_handled;
+  sigemptyset(&signals_handled);
+  for (const int signal_number : {SIGTERM, SIGINT}) sigaddset(&signals_handled, signal_number);
+  sigprocmask(SIG_BLOCK, &signals_handled, nullptr);
   signal(SIGPIPE, SIG_IGN);
   try {
-    log::open(log::Level::info, log_form == "json" ? log::Form::json : log::Form::plain, options.name);
+    log::open(log::Level::info, log_format == "json" ? log::Form::json : log::Form::plain, options.name);
     const auto address = net::parse_address(control);
     if (!address) throw config::BadInput("--control: not an address: " + control);
     if (const std::string why = control_address_error(*address); !why.empty())
@@ -82,18 +85,18 @@
     options.control = *address;
     if (options.folder.empty() || options.folder.front() != '/')
       throw config::BadInput("--folder: not an absolute path: " + options.folder);
-    settings.control_nodes = read_control_nodes(control_nodes);
+    settings.control_nodes = parse_control_nodes(control_nodes);
     if (!settings.control_nodes.empty() && (settings.fleet.empty() || settings.zone.empty()))
       throw config::BadInput("--control-node: needs --fleet and --zone");
     settings.preferred = std::min(settings.preferred, settings.control_nodes.size());
     net::Loop loop(clock);
     Keeper keeper(loop, disk, options);
-    net::Signals signals(loop, heeded, [&keeper] { keeper.leave(); });
+    net::Signals signals(loop, signals_handled, [&keeper] { keeper.shut_down(); });
     log::event(log::Level::info, "keeper.serving", {{"control", control}});
-    while (keeper.running()) loop.gather();
+    while (keeper.is_running()) loop.gather();
     return EXIT_SUCCESS;
-  } catch (const std::exception& wrong) {
-    std::cerr << "marbledyke-keeper: " << wrong.what() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << "marbledyke-keeper: " << error.what() << '\n';
     return EXIT_FAILURE;
   }
 }
--- a/src/keeper/supervisor.cpp
+++ b/src/keeper/supervisor.cpp
@@ -9,6 +9,10 @@
 
 using namespace std::chrono_literals;
 
+constexpr double kImmediateRestartScore = 1.5;  // a restart up to this crash score has no backoff
+constexpr double kMaxDoublings = 20;            // of the backoff
+
+// The names on the wire and in the log; operators' tools match them.
 constexpr const char* kProcessStateNames[] = {"none",     "starting", "serving", "hung",
                                               "stopping", "killed",   "felled"};
 constexpr const char* kSwapStateNames[] = {"none",  "reading",      "beside",      "proving",
@@ -46,7 +50,7 @@
 
 enum class RunReaction { nothing, start, stop, back_off, give_up, reset_crash_score };
 
-// A swap goes on in one of two states: where a reload suffices, and where a process must be started.
+// A swap goes on in one of two states: where a reload reloads, and where a process must be started.
 struct SwapTransition {
   SwapReaction reaction;
   SwapState reloading, starting;
@@ -60,9 +64,10 @@
   RunState next;
 };
 
+// Short names for the tables.
 using L = ProcessState;
 using D = ProcessReaction;
-// begun, serves, silent, speaks, told_stop, limit, ended
+// Columns: started, serving, silent, responsive, stop_requested, timed_out, exited.
 constexpr ProcessTransition kProcessTransitions[7][7] = {
     /* none */
     {{D::nothing, L::starting},
@@ -104,7 +109,7 @@
      {D::nothing, L::stopping},
      {D::kill, L::killed_in_stop},
      {D::release_slot, L::none}},
-    /* killed */
+    /* killed_in_stop */
     {{D::unexpected, L::killed_in_stop},
      {D::nothing, L::killed_in_stop},
      {D::nothing, L::killed_in_stop},
@@ -112,7 +117,7 @@
      {D::nothing, L::killed_in_stop},
      {D::kill, L::killed_in_stop},
      {D::release_slot, L::none}},
-    /* felled */
+    /* killed_as_failed */
     {{D::unexpected, L::killed_as_failed},
      {D::nothing, L::killed_as_failed},
      {D::nothing, L::killed_as_failed},
@@ -124,9 +129,10 @@
 using S = SwapState;
 using W = SwapReaction;
 constexpr SwapTransition ignore(S state) { return {W::nothing, state, state}; }
-constexpr SwapTransition never(S state) { return {W::unexpected, state, state}; }
+constexpr SwapTransition unexpected(S state) { return {W::unexpected, state, state}; }
 constexpr SwapTransition to(W what, S state) { return {what, state, state}; }
-// use, taken, not_taken, needs_start, serves, not_started, sound, unsound, limit, confirmed, stop
+// Columns: requested, reloaded, reload_refused, needs_restart, process_serving, process_failed, proved,
+// failed, timed_out, confirmed, stopped.
 constexpr SwapTransition kSwapTransitions[8][11] = {
     /* none */
     {{W::begin_swap, S::reloading, S::starting},
@@ -135,27 +141,27 @@
      ignore(S::none),
      ignore(S::none),
      ignore(S::none),
-     never(S::none),
-     never(S::none),
-     never(S::none),
+     unexpected(S::none),
+     unexpected(S::none),
+     unexpected(S::none),
      ignore(S::none),
      ignore(S::none)},
-    /* reading */
-    {never(S::reloading), to(W::begin_proving, S::proving), to(W::refuse, S::none),
+    /* reloading */
+    {unexpected(S::reloading), to(W::begin_proving, S::proving), to(W::refuse, S::none),
      to(W::start_process, S::starting), ignore(S::reloading), to(W::start_process, S::starting),
-     never(S::reloading), ignore(S::reloading), to(W::start_process, S::starting), ignore(S::reloading),
+     unexpected(S::reloading), ignore(S::reloading), to(W::start_process, S::starting), ignore(S::reloading),
      to(W::abandon, S::none)},
-    /* beside */
-    {never(S::starting), ignore(S::starting), ignore(S::starting), ignore(S::starting),
-     to(W::take_over, S::proving), to(W::keep_present, S::none), never(S::starting), ignore(S::starting),
-     never(S::starting), ignore(S::starting), to(W::abandon, S::none)},
+    /* starting */
+    {unexpected(S::starting), ignore(S::starting), ignore(S::starting), ignore(S::starting),
+     to(W::take_over, S::proving), to(W::keep_present, S::none), unexpected(S::starting), ignore(S::starting),
+     unexpected(S::starting), ignore(S::starting), to(W::abandon, S::none)},
     /* proving */
-    {never(S::proving),
+    {unexpected(S::proving),
      ignore(S::proving),
      ignore(S::proving),
      ignore(S::proving),
      ignore(S::proving),
-     never(S::proving),
+     unexpected(S::proving),
      to(W::complete, S::none),
      {W::roll_back, S::rollback_reloading, S::rollback_starting},
      {W::roll_back, S::rollback_reloading, S::rollback_starting},
@@ -167,32 +173,33 @@
      ignore(S::trial),
      ignore(S::trial),
      ignore(S::trial),
-     never(S::trial),
-     never(S::trial),
+     unexpected(S::trial),
+     unexpected(S::trial),
      {W::roll_back, S::rollback_reloading, S::rollback_starting},
      {W::roll_back, S::rollback_reloading, S::rollback_starting},
      to(W::confirm, S::none),
      to(W::abandon, S::none)},
-    /* back_reading */
-    {never(S::rollback_reloading), to(W::begin_proving, S::rollback_proving),
+    /* rollback_reloading */
+    {unexpected(S::rollback_reloading), to(W::begin_proving, S::rollback_proving),
      to(W::start_process, S::rollback_starting), to(W::start_process, S::rollback_starting),
-     ignore(S::rollback_reloading), to(W::start_process, S::rollback_starting), never(S::rollback_reloading),
-     ignore(S::rollback_reloading), to(W::start_process, S::rollback_starting), ignore(S::rollback_reloading),
-     to(W::abandon, S::none)},
-    /* back_beside */
-    {never(S::rollback_starting), ignore(S::rollback_starting), ignore(S::rollback_starting),
+     ignore(S::rollback_reloading), to(W::start_process, S::rollback_starting),
+     unexpected(S::rollback_reloading), ignore(S::rollback_reloading),
+     to(W::start_process, S::rollback_starting), ignore(S::rollback_reloading), to(W::abandon, S::none)},
+    /* rollback_starting */
+    {unexpected(S::rollback_starting), ignore(S::rollback_starting), ignore(S::rollback_starting),
      ignore(S::rollback_starting), to(W::take_over, S::rollback_proving), to(W::fail_rollback, S::none),
-     never(S::rollback_starting), ignore(S::rollback_starting), never(S::rollback_starting),
+     unexpected(S::rollback_starting), ignore(S::rollback_starting), unexpected(S::rollback_starting),
      ignore(S::rollback_starting), to(W::abandon, S::none)},
-    /* back_proving */
-    {never(S::rollback_proving), ignore(S::rollback_proving), ignore(S::rollback_proving),
-     ignore(S::rollback_proving), ignore(S::rollback_proving), never(S::rollback_proving),
+    /* rollback_proving */
+    {unexpected(S::rollback_proving), ignore(S::rollback_proving), ignore(S::rollback_proving),
+     ignore(S::rollback_proving), ignore(S::rollback_proving), unexpected(S::rollback_proving),
      to(W::finish_rollback, S::none), to(W::fail_rollback, S::none), to(W::fail_rollback, S::none),
      ignore(S::rollback_proving), to(W::abandon, S::none)}};
 
 using V = RunState;
 using X = RunReaction;
-// wanted, unwanted, begins, fell, fell_too_often, rested, leave
+// Columns: run_requested, stop_requested, process_starting, process_failed, too_many_failures,
+// backoff_elapsed, shutdown_requested.
 constexpr RunTransition kRunTransitions[5][7] = {
     /* off */
     {{X::start, V::running},
@@ -202,7 +209,7 @@
      {X::nothing, V::off},
      {X::nothing, V::off},
      {X::stop, V::shutting_down}},
-    /* resting */
+    /* backing_off */
     {{X::start, V::running},
      {X::stop, V::off},
      {X::nothing, V::running},
@@ -226,7 +233,7 @@
      {X::nothing, V::given_up},
      {X::nothing, V::given_up},
      {X::stop, V::shutting_down}},
-    /* leaving */
+    /* shutting_down */
     {{X::nothing, V::shutting_down},
      {X::nothing, V::shutting_down},
      {X::nothing, V::shutting_down},
@@ -236,21 +243,21 @@
      {X::nothing, V::shutting_down}}};
 
 template <typename E>
-constexpr std::size_t place(E e) {
+constexpr std::size_t index_of(E e) {
   return static_cast<std::size_t>(e);
 }
 
 }  // namespace
 
-const char* name_of(ProcessState life) { return kProcessStateNames[place(life)]; }
-const char* name_of(SwapState swap) { return kSwapStateNames[place(swap)]; }
-const char* name_of(RunState will) { return kRunStateNames[place(will)]; }
+const char* name_of(ProcessState state) { return kProcessStateNames[index_of(state)]; }
+const char* name_of(SwapState state) { return kSwapStateNames[index_of(state)]; }
+const char* name_of(RunState state) { return kRunStateNames[index_of(state)]; }
 
-Supervisor::Supervisor(const SupervisorPolicy& policy, KeeperState kept, Duration now, Duration wall,
+Supervisor::Supervisor(const SupervisorPolicy& policy, KeeperState state, Duration now, Duration wall,
                        double jitter)
-    : policy_(policy), state_(std::move(kept)), now_(now), wall_(wall), last_tick_(now), jitter_(jitter) {}
+    : policy_(policy), state_(std::move(state)), now_(now), wall_(wall), last_tick_(now), jitter_(jitter) {}
 
-// ---- what it finds at its start ----
+// ---- start ----
 
 void Supervisor::on_process_adopted(int slot, const std::string& version, const VersionInfo& info) {
   Process& process = at(slot);
@@ -261,8 +268,8 @@
   process.since = process.started = process.last_report = process.last_healthy = now_;
 }
 
-// Whatever was under way is done once more from its beginning: each step does no harm when it is repeated.
-void Supervisor::resume(const VersionInfo& in_force, const VersionInfo& former, bool has_ordered) {
+// Whatever was under way is done again from its beginning: every step can be repeated safely.
+void Supervisor::resume(const VersionInfo& in_force, const VersionInfo& former, bool has_ordered_version) {
   target_ = in_force;
   former_ = former;
   const bool first = at(0).state != ProcessState::none, second = at(1).state != ProcessState::none;
@@ -273,14 +280,14 @@
   }
   if (!state_.in_force.empty()) emit(Action::Type::link_version, 0, state_.in_force);
   const bool swapping = state_.order && state_.order->kind == OrderKind::use;
-  state_.gave_up = false;  // a keeper that was started anew tries once more
-  // Taking and dropping a version are not gone on with, but they may be done.
-  const bool open = state_.outcome == Outcome::under_way && state_.order;
-  if (open && (state_.order->kind == OrderKind::take || state_.order->kind == OrderKind::drop)) {
-    const bool done = has_ordered == (state_.order->kind == OrderKind::take);
+  state_.gave_up = false;  // a restart of the keeper is a new attempt
+  // Taking and dropping a version are not resumed, but they may have been completed.
+  const bool under_way = state_.outcome == Outcome::under_way && state_.order;
+  if (under_way && (state_.order->kind == OrderKind::take || state_.order->kind == OrderKind::drop)) {
+    const bool done = has_ordered_version == (state_.order->kind == OrderKind::take);
     set_outcome(done ? Outcome::done : Outcome::refused, done ? "" : "the keeper ended before it was done");
   }
-  if (open && state_.order->kind == OrderKind::try_out)
+  if (under_way && state_.order->kind == OrderKind::try_out)
     set_outcome(Outcome::refused, "the keeper ended before it was done");
   if (!state_.should_run) {
     if (run_state_ == RunState::running) on(RunEvent::stop_requested);
@@ -295,9 +302,9 @@
     return start_rollback(SwapState::rollback_reloading, SwapState::rollback_starting);
   }
   if (state_.outcome == Outcome::on_trial && swapping) {
-    const Duration ran = std::clamp(wall_ - Duration(std::chrono::milliseconds(state_.since_ms)),
-                                    Duration::zero(), state_.order->trial);
-    trial_until_ = now_ + state_.order->trial - ran;
+    const Duration elapsed = std::clamp(wall_ - Duration(std::chrono::milliseconds(state_.since_ms)),
+                                        Duration::zero(), state_.order->trial);
+    trial_until_ = now_ + state_.order->trial - elapsed;
     swap_ = SwapState::trial;
     swap_since_ = now_;
   } else if (state_.outcome == Outcome::under_way && state_.order &&
@@ -321,10 +328,10 @@
   return verdict;
 }
 
-KeeperState Supervisor::state_with(const KeeperState& kept, const Order& order, Duration wall) {
-  KeeperState out = kept;
+KeeperState Supervisor::state_with(const KeeperState& state, const Order& order, Duration wall) {
+  KeeperState out = state;
   if (order.kind == OrderKind::use) {
-    // What was on trial is not what one goes back to.
+    // A rollback never returns to a version that was on trial.
     if (out.outcome != Outcome::on_trial && out.in_force != order.version) out.former = out.in_force;
     out.in_force = order.version;
   }
@@ -334,11 +341,11 @@
     out.gave_up = false;
   }
   if (order.kind == OrderKind::stop) out.should_run = false;
-  // What was not proved is not in force after a stop.
+  // A version that was not proved is not in force after a stop.
   if (order.kind == OrderKind::stop &&
-      (kept.outcome == Outcome::under_way || kept.outcome == Outcome::on_trial) && kept.order &&
-      kept.order->kind == OrderKind::use && !kept.former.empty())
-    out.in_force = kept.former;
+      (state.outcome == Outcome::under_way || state.outcome == Outcome::on_trial) && state.order &&
+      state.order->kind == OrderKind::use && !state.former.empty())
+    out.in_force = state.former;
   out.order = order;
   out.outcome = Outcome::under_way;
   out.why.clear();
@@ -346,10 +353,10 @@
   return out;
 }
 
-void Supervisor::accept(const Order& order, KeeperState kept, const VersionInfo& target,
+void Supervisor::accept(const Order& order, KeeperState state, const VersionInfo& target,
                         const VersionInfo& former) {
-  const bool linked_anew = kept.in_force != state_.in_force;
-  state_ = std::move(kept);
+  const bool version_changed = state.in_force != state_.in_force;
+  state_ = std::move(state);
   switch (order.kind) {
     case OrderKind::use:
       target_ = target;
@@ -361,7 +368,7 @@
       return on(RunEvent::run_requested);
     case OrderKind::stop:
       on(SwapEvent::stopped);
-      if (linked_anew) emit(Action::Type::link_version, 0, state_.in_force);
+      if (version_changed) emit(Action::Type::link_version, 0, state_.in_force);
       on(RunEvent::stop_requested);
       if (at(0).state == ProcessState::none && at(1).state == ProcessState::none)
         set_outcome(Outcome::done, "");
@@ -371,12 +378,12 @@
     case OrderKind::take:
     case OrderKind::drop:
     case OrderKind::try_out:
-      return;  // carried out by who keeps the folder; versions_done() ends it
+      return;  // carried out by the caller, which ends it with on_version_task_done()
   }
 }
 
-void Supervisor::on_version_task_done(const std::string& wrong, const std::string& notes) {
-  set_outcome(wrong.empty() ? Outcome::done : Outcome::refused, wrong.empty() ? notes : wrong);
+void Supervisor::on_version_task_done(const std::string& error, const std::string& notes) {
+  set_outcome(error.empty() ? Outcome::done : Outcome::refused, error.empty() ? notes : error);
 }
 
 void Supervisor::shut_down() {
@@ -384,7 +391,7 @@
   on(RunEvent::shutdown_requested);
 }
 
-// ---- what processes do ----
+// ---- results of actions, and events of processes ----
 
 void Supervisor::on_process_started(int slot, const VersionInfo& info) {
   Process& process = at(slot);
@@ -403,7 +410,7 @@
   on_process_failed(slot, why);
 }
 
-// The version could not be brought in force, so nothing is read or begun on the strength of it.
+// Reloads and starts that were to follow the link are dropped: they would use the wrong version.
 void Supervisor::on_link_failed(const std::string& why) {
   link_pending_ = true;
   std::erase_if(actions_, [](const Action& action) {
@@ -453,24 +460,28 @@
   if (process.state == ProcessState::starting) on(slot, ProcessEvent::serving);
 }
 
-// The health call goes to whoever accepts first where two serve, so it says something of the lead alone only.
+// While two processes serve, either of them may accept the health call, so that the result says nothing about
+// the primary; it counts as healthy then.
 void Supervisor::on_health_result(bool good) {
   const bool alone = at(1 - primary_).state == ProcessState::none;
   if (good && alone) at(primary_).last_healthy = now_;
   if (!alone) at(primary_).last_healthy = now_;
 }
 
-void Supervisor::on_reload_result(int slot, bool taken, bool needs_start, const std::string& why) {
+void Supervisor::on_reload_result(int slot, bool accepted, bool needs_restart, const std::string& why) {
   if (slot != primary_) return;
   swap_failure_ = why;
-  on(!taken ? SwapEvent::reload_refused : needs_start ? SwapEvent::needs_restart : SwapEvent::reloaded, why);
+  on(!accepted       ? SwapEvent::reload_refused
+     : needs_restart ? SwapEvent::needs_restart
+                     : SwapEvent::reloaded,
+     why);
 }
 
 bool Supervisor::is_sound(const Process& process) const {
-  const bool mute = process.last_taken > process.last_ended &&
-                    now_ - process.no_progress_since >= policy_.no_progress_timeout;
+  const bool no_progress = process.last_taken > process.last_ended &&
+                           now_ - process.no_progress_since >= policy_.no_progress_timeout;
   return now_ - process.last_report <= policy_.silence_timeout &&
-         now_ - process.last_healthy <= policy_.silence_timeout && !mute;
+         now_ - process.last_healthy <= policy_.silence_timeout && !no_progress;
 }
 
 Health Supervisor::health_of(int slot) const {
@@ -480,9 +491,9 @@
   out.healthy = out.runs && process.state != ProcessState::starting &&
                 now_ - process.last_healthy <= policy_.silence_timeout;
   if (!out.runs || process.last_taken == Duration{}) return out;
-  const bool hears = now_ - process.last_report <= policy_.silence_timeout;
-  out.answers = hears && (process.last_ended >= process.last_taken ||
-                          now_ - process.no_progress_since < policy_.no_progress_timeout)
+  const bool is_reporting = now_ - process.last_report <= policy_.silence_timeout;
+  out.answers = is_reporting && (process.last_ended >= process.last_taken ||
+                                 now_ - process.no_progress_since < policy_.no_progress_timeout)
                     ? Health::Answers::yes
                     : Health::Answers::no;
   return out;
@@ -496,11 +507,11 @@
   wall_ = wall;
   last_tick_ = now;
   if (gap > policy_.stall_threshold) {
-    // This process stood still; what it did not hear meanwhile says nothing about the gatherer.
+    // The keeper itself was paused; the reports that it missed say nothing about the gatherer.
     for (Process& process : processes_) {
-      for (Duration* when :
+      for (Duration* time :
            {&process.since, &process.last_report, &process.last_healthy, &process.no_progress_since})
-        *when += gap;
+        *time += gap;
     }
     swap_since_ += gap;
     if (is_sound_now_) sound_since_ += gap;
@@ -509,28 +520,28 @@
     const Process& process = at(slot);
     if (process.state == ProcessState::serving && !is_sound(process)) on(slot, ProcessEvent::silent);
     if (process.state == ProcessState::hung && is_sound(process)) on(slot, ProcessEvent::responsive);
-    const Duration limit =
+    const Duration timeout =
         process.state == ProcessState::starting   ? policy_.start_timeout
         : process.state == ProcessState::hung     ? policy_.hung_timeout
         : process.state == ProcessState::stopping ? policy_.stop_timeout
         : process.state == ProcessState::killed_in_stop || process.state == ProcessState::killed_as_failed
             ? policy_.kill_retry_interval
             : Duration::max();
-    if (limit != Duration::max() && now_ - process.since >= limit) on(slot, ProcessEvent::timed_out);
+    if (timeout != Duration::max() && now_ - process.since >= timeout) on(slot, ProcessEvent::timed_out);
   }
   if (run_state_ == RunState::backing_off && now_ >= backoff_until_) on(RunEvent::backoff_elapsed);
-  const Process& lead = at(primary_);
+  const Process& primary = at(primary_);
   if (state_.outcome == Outcome::under_way && state_.order && state_.order->kind == OrderKind::run &&
-      lead.state == ProcessState::serving)
+      primary.state == ProcessState::serving)
     set_outcome(Outcome::done, "");
   if (swap_ == SwapState::proving || swap_ == SwapState::rollback_proving) {
-    const std::string& wants = swap_ == SwapState::proving ? target_.configuration : former_.configuration;
-    // One that was asked has to have ended something, too.
-    const bool answers = lead.last_taken == Duration{} || lead.last_ended >= lead.last_taken;
-    const bool is =
-        lead.state == ProcessState::serving && is_sound(lead) && answers && lead.configuration == wants;
-    if (is && !is_sound_now_) sound_since_ = now_;
-    is_sound_now_ = is;
+    const std::string& expected = swap_ == SwapState::proving ? target_.configuration : former_.configuration;
+    // A process that has taken multigets must also have ended some.
+    const bool answers = primary.last_taken == Duration{} || primary.last_ended >= primary.last_taken;
+    const bool is_proof = primary.state == ProcessState::serving && is_sound(primary) && answers &&
+                          primary.configuration == expected;
+    if (is_proof && !is_sound_now_) sound_since_ = now_;
+    is_sound_now_ = is_proof;
     if (is_sound_now_ && now_ - sound_since_ >= policy_.proving_period) {
       on(SwapEvent::proved);
     } else if (now_ - swap_since_ >= policy_.proving_timeout) {
@@ -558,10 +569,10 @@
   return out;
 }
 
-// ---- the machines ----
+// ---- state machines ----
 
-void Supervisor::emit(Action::Type what, int slot, const std::string& version, const std::string& why) {
-  actions_.push_back({what, slot, version, why});
+void Supervisor::emit(Action::Type type, int slot, const std::string& version, const std::string& message) {
+  actions_.push_back({type, slot, version, message});
 }
 
 void Supervisor::persist_state() {
@@ -570,11 +581,11 @@
 }
 
 void Supervisor::set_outcome(Outcome outcome, const std::string& why) {
-  // A swap that no order is under way for (what runs is brought in line at a keeper's start) says nothing of
-  // the last order, unless it ends badly.
-  const bool open = state_.outcome == Outcome::under_way || state_.outcome == Outcome::on_trial ||
-                    state_.outcome == Outcome::rolling_back;
-  if ((open || outcome == Outcome::needs_operator || outcome == Outcome::rolling_back) &&
+  // A swap without an order (at its start the keeper replaces a gatherer of another version than the one in
+  // force) leaves the outcome of the last order alone, unless it fails.
+  const bool under_way = state_.outcome == Outcome::under_way || state_.outcome == Outcome::on_trial ||
+                         state_.outcome == Outcome::rolling_back;
+  if ((under_way || outcome == Outcome::needs_operator || outcome == Outcome::rolling_back) &&
       (state_.outcome != outcome || state_.why != why)) {
     state_.outcome = outcome;
     state_.why = why;
@@ -587,7 +598,7 @@
 
 void Supervisor::on(int slot, ProcessEvent event, const std::string& why) {
   Process& process = at(slot);
-  const ProcessTransition& transition = kProcessTransitions[place(process.state)][place(event)];
+  const ProcessTransition& transition = kProcessTransitions[index_of(process.state)][index_of(event)];
   if (transition.next != process.state) process.since = now_;
   process.state = transition.next;
   switch (transition.reaction) {
@@ -596,7 +607,7 @@
     case ProcessReaction::unexpected:
       unexpected_events_ += 1;
       emit(Action::Type::log, slot, process.version,
-           std::string("IMPOSSIBLE: event ") + std::to_string(place(event)) + " of a process in state " +
+           std::string("IMPOSSIBLE: event ") + std::to_string(index_of(event)) + " of a process in state " +
                name_of(process.state));
       return;
     case ProcessReaction::report_serving:
@@ -625,20 +636,20 @@
       on_process_failed(slot, why);
       break;
   }
-  // A slot is free again.
+  // The slot is free again.
   if (start_pending_ && *start_pending_ == slot) start_when_slot_free();
   if (state_.outcome == Outcome::under_way && state_.order && state_.order->kind == OrderKind::stop &&
       at(0).state == ProcessState::none && at(1).state == ProcessState::none)
     set_outcome(Outcome::done, "");
 }
 
-// An end that nobody ordered, or a start that failed.
+// Handles an exit without an order, or a failed start.
 void Supervisor::on_process_failed(int slot, const std::string& how) {
   state_.unplanned_exits += 1;
   emit(Action::Type::log, slot, at(slot).version, "ended by itself: " + how);
-  const bool beside = swap_ == SwapState::starting || swap_ == SwapState::rollback_starting;
-  if (beside) {
-    // Where the one that is to be followed ends, the other is coming all the same.
+  const bool is_starting = swap_ == SwapState::starting || swap_ == SwapState::rollback_starting;
+  if (is_starting) {
+    // An exit of the process that is being replaced does not stop the swap: its replacement is starting.
     if (start_pending_ || slot != newest_) return;
     swap_failure_ = "it did not come up: " + how;
     return on(SwapEvent::process_failed);
@@ -650,14 +661,14 @@
     swap_failure_ = "it ended: " + how;
     return on(SwapEvent::failed);
   }
-  const double lived = static_cast<double>((now_ - at(slot).started).count());
-  const double fades = static_cast<double>(policy_.crash_score_decay_time.count());
-  state_.crash_score = std::max(state_.crash_score - lived / fades, 0.0) + 1;
+  const double uptime = static_cast<double>((now_ - at(slot).started).count());
+  const double decay_time = static_cast<double>(policy_.crash_score_decay_time.count());
+  state_.crash_score = std::max(state_.crash_score - uptime / decay_time, 0.0) + 1;
   on(state_.crash_score >= policy_.max_crash_score ? RunEvent::too_many_failures : RunEvent::process_failed);
 }
 
 void Supervisor::on(RunEvent event) {
-  const RunTransition& transition = kRunTransitions[place(run_state_)][place(event)];
+  const RunTransition& transition = kRunTransitions[index_of(run_state_)][index_of(event)];
   run_state_ = transition.next;
   switch (transition.reaction) {
     case RunReaction::nothing:
@@ -674,10 +685,10 @@
       for (int slot = 0; slot < kSlots; ++slot) on(slot, ProcessEvent::stop_requested);
       return;
     case RunReaction::back_off: {
-      // The first start after a sound life is at once; each further one in a row waits twice as long.
-      const double doublings = std::min(state_.crash_score - 2, 20.0);
+      // The first restart after a long uptime is immediate; the wait doubles with each further one.
+      const double doublings = std::min(state_.crash_score - 2, kMaxDoublings);
       Duration wait{};
-      if (state_.crash_score > 1.5)
+      if (state_.crash_score > kImmediateRestartScore)
         wait =
             std::min(Duration(static_cast<std::int64_t>(static_cast<double>(policy_.initial_backoff.count()) *
                                                         std::exp2(doublings) * (1 + jitter_))),
@@ -703,7 +714,7 @@
   start_pending_.reset();
   newest_ = slot;
   at(slot).version = state_.in_force;
-  // What it reads at its start goes by the link; where that cannot be set, nothing is begun.
+  // The process finds its files by the link; a failure to set the link cancels the start.
   emit(Action::Type::link_version, 0, state_.in_force);
   emit(Action::Type::start_process, slot, state_.in_force);
 }
@@ -716,48 +727,48 @@
   on(slot, ProcessEvent::stop_requested);
 }
 
-// The process that serves has the program already, so that reading the settings anew is all that is needed.
+// Returns true where the serving process already runs the version's program, so that a reload suffices.
 bool Supervisor::can_reload(const VersionInfo& info) const {
-  const Process& lead = at(primary_);
-  return (lead.state == ProcessState::serving || lead.state == ProcessState::hung) &&
-         lead.info.program == info.program;
+  const Process& primary = at(primary_);
+  return (primary.state == ProcessState::serving || primary.state == ProcessState::hung) &&
+         primary.info.program == info.program;
 }
 
-// What is in force is the former version by now.
-void Supervisor::start_rollback(SwapState reads, SwapState begins) {
+// Brings back the former version, which is already recorded as the one in force.
+void Supervisor::start_rollback(SwapState reloading, SwapState starting) {
   swap_since_ = now_;
   is_sound_now_ = false;
-  const bool suffices = can_reload(former_);
-  swap_ = suffices ? reads : begins;
-  if (suffices) return emit(Action::Type::reload, primary_);
+  const bool reloads = can_reload(former_);
+  swap_ = reloads ? reloading : starting;
+  if (reloads) return emit(Action::Type::reload, primary_);
   start_when_slot_free();
 }
 
-void Supervisor::link_in_force(const char* to_what) {
+void Supervisor::link_in_force(const char* message) {
   swap_since_ = now_;
   is_sound_now_ = false;
   emit(Action::Type::link_version, 0, state_.in_force);
-  emit(Action::Type::log, primary_, state_.in_force, to_what);
+  emit(Action::Type::log, primary_, state_.in_force, message);
 }
 
 void Supervisor::on(SwapEvent event, const std::string& why) {
-  const SwapTransition& transition = kSwapTransitions[place(swap_)][place(event)];
-  const SwapState from = swap_;
+  const SwapTransition& transition = kSwapTransitions[index_of(swap_)][index_of(event)];
+  const SwapState before = swap_;
   switch (transition.reaction) {
     case SwapReaction::nothing:
       return;
     case SwapReaction::unexpected:
       unexpected_events_ += 1;
       emit(Action::Type::log, primary_, state_.in_force,
-           std::string("IMPOSSIBLE: event ") + std::to_string(place(event)) + " of a swap in state " +
+           std::string("IMPOSSIBLE: event ") + std::to_string(index_of(event)) + " of a swap in state " +
                name_of(swap_));
       return;
     case SwapReaction::begin_swap: {
-      const bool reads = can_reload(target_);
-      swap_ = reads ? transition.reloading : transition.starting;
+      const bool reloads = can_reload(target_);
+      swap_ = reloads ? transition.reloading : transition.starting;
       link_in_force("is brought in force");
       on(RunEvent::process_starting);
-      if (reads) return emit(Action::Type::reload, primary_);
+      if (reloads) return emit(Action::Type::reload, primary_);
       return start_when_slot_free();
     }
     case SwapReaction::start_process:
@@ -797,22 +808,22 @@
     case SwapReaction::keep_present:
     case SwapReaction::roll_back: {
       if (!why.empty()) swap_failure_ = why;
-      const Process& lead = at(primary_);
+      const Process& primary = at(primary_);
       if (state_.former.empty() || state_.former == state_.in_force) {
-        // There is nothing to go back to: it runs on as it is, with starts and waits.
+        // Without a former version this one goes on as it is, with restarts and backoffs.
         swap_ = SwapState::none;
         set_outcome(Outcome::needs_operator, swap_failure_ + "; there is no former version");
-        if (lead.state == ProcessState::none) on(RunEvent::process_failed);
+        if (primary.state == ProcessState::none) on(RunEvent::process_failed);
         return;
       }
-      // What failed is not what anything goes back to later.
+      // A later rollback must not return to the version that failed.
       state_.in_force = std::exchange(state_.former, std::string());
       link_in_force(("goes back: " + swap_failure_).c_str());
-      const bool untouched = transition.reaction != SwapReaction::roll_back &&
-                             lead.state == ProcessState::serving && lead.info.program == former_.program &&
-                             lead.configuration == former_.configuration;
+      const bool untouched =
+          transition.reaction != SwapReaction::roll_back && primary.state == ProcessState::serving &&
+          primary.info.program == former_.program && primary.configuration == former_.configuration;
       if (untouched) {
-        // The former one has served on all the time.
+        // The former process has been serving all along.
         swap_ = SwapState::none;
         return set_outcome(
             transition.reaction == SwapReaction::refuse ? Outcome::refused : Outcome::rolled_back,
@@ -835,7 +846,7 @@
     case SwapReaction::abandon:
       swap_ = SwapState::none;
       start_pending_.reset();
-      if (from != SwapState::none)
+      if (before != SwapState::none)
         emit(Action::Type::log, primary_, state_.in_force, "the swap was given up: stopped");
       return;
   }
--- a/src/keeper/versions.h
+++ b/src/keeper/versions.h
@@ -1,7 +1,9 @@
-// The versions of program and settings that a keeper holds: FOLDER/versions/ID/ with the files `marbledyke`,
-// `config.json`, perhaps `operator.xml` and `marbledyke-operator`, and `manifest.json` with their checksums
-// (XXH3-128, by its library). A version is there whole or not at all: it is copied under another name,
-// synced, read back and renamed. FOLDER/current is a link to the one in force.
+// The versions of program and settings that a keeper stores.
+//
+// DIRECTORY/versions/ID/ holds the files `marbledyke`, `config.json`, optionally `operator.xml` and
+// `marbledyke-operator`, and `manifest.json` with their checksums (XXH3-128). A version is complete or
+// absent: it is copied under a temporary name, synced, read back and then renamed. DIRECTORY/current is a
+// symbolic link to the version in force.
 #pragma once
 
 #include <map>
@@ -15,55 +17,61 @@
 
 namespace marbledyke::keeper {
 
-inline constexpr std::size_t kMostFile = 512 * 1024 * 1024;
-inline constexpr std::size_t kMostVersions = 16;
-// Ends the program facts of a version with an operator's file: a process is begun with one or without.
+inline constexpr std::size_t kMaxFileBytes = 512 * 1024 * 1024;
+inline constexpr std::size_t kMaxVersions = 16;
+// Appended to VersionInfo::program of a version with an operator's file: whether a process is started with
+// the file is part of what a reload cannot change.
 inline constexpr const char* kWithOperatorFile = "+operator.xml";
 
 class Versions {
  public:
-  Versions(disk::Disk& disk, std::string folder);
+  Versions(disk::Disk& disk, std::string directory);
 
-  // Makes the folders and removes what a former life left half done.
+  // Creates the directories, removes incomplete copies and reads the manifests.
   void open();
-  bool has(const std::string& id) const { return facts_.contains(id); }
-  // Empty facts for what is not there.
-  VersionInfo facts(const std::string& id) const;
-  const std::map<std::string, VersionInfo>& all() const { return facts_; }
-  std::string path(const std::string& id) const;  // of its folder
-  std::string current() const;                    // the link
-  void link(const std::string& id);               // throws disk::DiskError
+  bool has(const std::string& id) const { return versions_.contains(id); }
+  // Returns an empty VersionInfo where there is no such version.
+  VersionInfo info(const std::string& id) const;
+  const std::map<std::string, VersionInfo>& all() const { return versions_; }
+  std::string path(const std::string& id) const;  // of the version's directory
+  std::string current() const;                    // the path of the link
+  // Makes a version the one in force. Throws disk::DiskError.
+  void link(const std::string& id);
+  // Returns the version in force.
   std::optional<std::string> linked() const;
-  // Reads every file of it again; empty: as it was taken, else what is wrong.
+  // Compares every file of the version with its checksum. Returns the error; empty where there is none.
   std::string verify(const std::string& id) const;
+  // Removes a version. Throws disk::DiskError.
   void drop(const std::string& id);
 
-  // A version being copied in, some of it at a time, so that what watches a gatherer is not held up.
-  class Taking {
+  // Copies a version in small steps, so that the supervision of the gatherer is not held up.
+  class Copier {
    public:
-    Taking(Versions& into, std::string id, std::string from);
-    ~Taking();
-    // False once it is there, whole. Throws disk::DiskError or config::BadInput; nothing of it is left then.
+    // Throws config::BadInput or disk::DiskError.
+    Copier(Versions& versions, std::string id, std::string source);
+    ~Copier();
+    // Returns false once the version is complete. Throws disk::DiskError or config::BadInput; the partial
+    // copy is removed then.
     bool step();
 
    private:
     void finish_file();
-    Versions& into_;
-    std::string id_, from_, part_;
+    Versions& owner_;
+    std::string id_, source_, partial_path_;
     std::vector<std::string> files_;
-    std::size_t at_ = 0;
-    struct Copy;
-    std::unique_ptr<Copy> copy_;
-    std::map<std::string, std::string> sums_;
+    std::size_t file_index_ = 0;
+    struct FileCopy;
+    std::unique_ptr<FileCopy> copy_;
+    std::map<std::string, std::string> checksums_;
     bool done_ = false;
   };
 
  private:
-  void read_facts(const std::string& id);
+  void read_manifest(const std::string& id);
 
   disk::Disk& disk_;
-  std::string folder_;
-  std::map<std::string, VersionInfo> facts_;
+  std::string directory_;
+  std::map<std::string, VersionInfo> versions_;
 };
 
 }  // namespace marbledyke::keeper
--- a/tests/settings_traces.cpp
+++ b/tests/settings_traces.cpp
@@ -8,16 +8,16 @@
 #include <random>
 #include <string>
 
-#include "keeper/settings_holder.h"
+#include "keeper/settings_supervisor.h"
 
 using namespace marbledyke;
 using namespace std::chrono_literals;
 using distribution::Revision;
-using keeper::HolderAct;
-using keeper::HolderPhase;
-using keeper::Host;
-using keeper::SettingsHolder;
-using What = HolderAct::What;
+using keeper::GathererStatus;
+using keeper::SettingsAction;
+using keeper::SettingsPhase;
+using keeper::SettingsSupervisor;
+using Type = SettingsAction::Type;
 
 namespace {
 
@@ -44,7 +44,7 @@
   std::function<bool(std::int64_t)> refuses = [](std::int64_t) { return false; };
   std::function<bool(std::int64_t)> ends = [](std::int64_t) { return false; };
 
-  std::optional<SettingsHolder> holder;
+  std::optional<SettingsSupervisor> supervisor;
   std::optional<std::int64_t> held;  // by the receiver; none: there is no receiver
   std::int64_t offered = 0, refused = 0, asks_at = 0;
   int acts = 0, dies_at = 0;
@@ -61,17 +61,19 @@
                 static_cast<long long>(index_of(good)), static_cast<long long>(runs),
                 static_cast<long long>(proven));
   }
-  Host host() const { return busy ? Host::busy : alive ? Host::ready : Host::absent; }
+  GathererStatus gatherer_status() const {
+    return busy ? GathererStatus::busy : alive ? GathererStatus::ready : GathererStatus::absent;
+  }
 
   void start_keeper() {
-    holder.emplace(keeper::HolderPolicy{});
+    supervisor.emplace(keeper::SettingsPolicy{});
     held.reset();
     offered = refused = 0;
-    holder->resume(settings, good, now);
+    supervisor->resume(settings, good, now);
     carry_out();
   }
   void kill_keeper() {
-    holder.reset();
+    supervisor.reset();
     held.reset();
   }
   void read() {
@@ -81,50 +83,50 @@
   }
   void start_gatherer() {
     if (refuses(index_of(settings))) {
-      if (holder) holder->ended(false, "status 1");
+      if (supervisor) supervisor->on_gatherer_exited(false, "status 1");
       return carry_out();
     }
     alive = true;
     read();
-    if (holder) holder->runs(runs);
+    if (supervisor) supervisor->on_running_revision(runs);
   }
   void end_gatherer(bool ordered) {
     alive = false;
     runs = 0;
     proven_since = now;
-    if (holder) holder->ended(ordered, "signal");
+    if (supervisor) supervisor->on_gatherer_exited(ordered, "signal");
     carry_out();
   }
   void hup() {
     if (!alive || deaf) return;
-    if (refuses(index_of(settings))) return holder->refused("settings.key: is too small");
+    if (refuses(index_of(settings))) return supervisor->on_reload_refused("settings.key: is too small");
     read();
-    holder->taken(runs);
+    supervisor->on_reload_accepted(runs);
   }
-  void write(const HolderAct& act) {
-    if (disk_fails) return holder->written(act.what, "the disk is full");
-    (act.what == What::write ? settings : good) = act.revision;
-    holder->written(act.what, "");
+  void write(const SettingsAction& action) {
+    if (disk_fails) return supervisor->on_written(action.type, "the disk is full");
+    (action.type == Type::write_settings ? settings : good) = action.revision;
+    supervisor->on_written(action.type, "");
   }
   void carry_out() {
-    while (holder) {
-      const auto act = holder->next();
-      if (!act) return;
+    while (supervisor) {
+      const auto action = supervisor->next_action();
+      if (!action) return;
       acts += 1;
       if (told) {
-        std::printf("  %s %lld %s\n", kActs[static_cast<int>(act->what)],
-                    static_cast<long long>(index_of(act->revision)), act->why.c_str());
+        std::printf("  %s %lld %s\n", kActs[static_cast<int>(action->type)],
+                    static_cast<long long>(index_of(action->revision)), action->message.c_str());
       }
       if (acts == dies_at) return kill_keeper();  // before it is done
-      if (act->what == What::write || act->what == What::write_good) write(*act);
-      if (act->what == What::hup) hup();
-      if (act->what == What::watch) {
-        held = index_of(act->revision);
+      if (action->type == Type::write_settings || action->type == Type::write_good) write(*action);
+      if (action->type == Type::reload) hup();
+      if (action->type == Type::start_receiver) {
+        held = index_of(action->revision);
         offered = refused = 0;
       }
-      if (act->what == What::applied || act->what == What::refused) {
+      if (action->type == Type::report_applied || action->type == Type::report_refused) {
         if (offered == 0) fault("the receiver waits for nothing");
-        (act->what == What::applied ? *held : refused) = std::exchange(offered, 0);
+        (action->type == Type::report_applied ? *held : refused) = std::exchange(offered, 0);
       }
     }
   }
@@ -133,36 +135,37 @@
     if (alive && crashes != 0 && now >= crash_at) end_gatherer(false);
     if (wanted && !alive) start_gatherer();
     if (!wanted && alive) end_gatherer(true);
-    if (!holder) return check();
-    if (alive && !deaf && now % 1s == 0s) holder->runs(runs);  // windows
-    holder->tick(now, host());
+    if (!supervisor) return check();
+    if (alive && !deaf && now % 1s == 0s) supervisor->on_running_revision(runs);  // windows
+    supervisor->tick(now, gatherer_status());
     carry_out();
-    if (holder && held && offered == 0 && newest > *held && newest > refused) {
+    if (supervisor && held && offered == 0 && newest > *held && newest > refused) {
       offered = newest;
-      holder->offered(revision(newest));
+      supervisor->on_revision_offered(revision(newest));
       carry_out();
     }
     check();
   }
   // What a gatherer has run soundly for longer than its probation is never followed by an older one.
   void check() {
-    if (!alive || deaf || !holder) proven_since = now;
+    if (!alive || deaf || !supervisor) proven_since = now;
     if (alive && crashes == 0 && now - proven_since >= 3s && runs > proven && index_of(settings) >= runs)
       proven = runs;
     if (alive && runs < proven) fault("the gatherer runs an older one");
     if (!disk_fails && index_of(settings) < proven && index_of(good) < proven)
       fault("the disk has an older one");
-    if (holder && holder->impossible() > 0) fault("an impossible event");
+    if (supervisor && supervisor->unexpected_events() > 0) fault("an impossible event");
   }
   void run(Duration span) {
     for (const Duration until = now + span; now < until;) step();
   }
   void say(const char* what) {
-    std::printf("%-62s disk %lld, good %lld, gatherer %lld, receiver %lld, refused %lld, %s\n", what,
-                static_cast<long long>(index_of(settings)), static_cast<long long>(index_of(good)),
-                static_cast<long long>(runs), static_cast<long long>(held.value_or(-1)),
-                static_cast<long long>(holder && holder->refusal() ? holder->refusal()->index : 0),
-                holder ? name_of(holder->phase()) : "no keeper");
+    std::printf(
+        "%-62s disk %lld, good %lld, gatherer %lld, receiver %lld, refused %lld, %s\n", what,
+        static_cast<long long>(index_of(settings)), static_cast<long long>(index_of(good)),
+        static_cast<long long>(runs), static_cast<long long>(held.value_or(-1)),
+        static_cast<long long>(supervisor && supervisor->refusal() ? supervisor->refusal()->index : 0),
+        supervisor ? name_of(supervisor->phase()) : "no keeper");
   }
 };
 
@@ -233,7 +236,7 @@
     const auto run = [&](Duration span) {
       for (const Duration until = w.now + span; w.now < until;) {
         w.step();
-        if (w.holder) continue;
+        if (w.supervisor) continue;
         w.run(300ms);
         w.start_keeper();
       }
@@ -275,8 +278,8 @@
       if (one_in(80)) w.deaf = !w.deaf;
       if (disks && one_in(150)) w.disk_fails = !w.disk_fails;
       if (one_in(100) && w.alive) w.end_gatherer(true);
-      if (kills && one_in(40) && w.holder) w.dies_at = w.acts + 1 + static_cast<int>(chance() % 6);
-      if (!w.holder && one_in(10)) w.start_keeper();
+      if (kills && one_in(40) && w.supervisor) w.dies_at = w.acts + 1 + static_cast<int>(chance() % 6);
+      if (!w.supervisor && one_in(10)) w.start_keeper();
       w.step();
     }
     w.wanted = true;
@@ -285,7 +288,7 @@
     do {
       w.newest += 1;
     } while (w.refuses(w.newest) || w.ends(w.newest));
-    if (!w.holder) w.start_keeper();
+    if (!w.supervisor) w.start_keeper();
     w.run(75s);
     faults += w.faults;
     applied += static_cast<std::uint64_t>(w.runs);
