--- a/src/keeper/gatherer_process.cpp
+++ b/src/keeper/gatherer_process.cpp
@@ -213,7 +213,7 @@
     if (flock(lock.get(), LOCK_EX | LOCK_NB) == 0) return std::nullopt;
   }
   errno = EBUSY;
-  fail(path_of("lock") + ": held by a process that is not known");
+  fail(path_of("lock") + ": locked by an unidentified process");
 }
 
 net::Descriptor GathererProcess::duplicate_listener(const std::string& address_text) const {
--- a/src/keeper/keeper.cpp
+++ b/src/keeper/keeper.cpp
@@ -374,7 +374,7 @@
 void Keeper::check_version(const std::string& version) {
   const std::string in_force = supervisor_->state().in_force;
   std::string error;
-  if (free_bytes() < kMinFreeBytes) error = "no room left on its disk";
+  if (free_bytes() < kMinFreeBytes) error = "too little free space on the keeper's disk";
   for (const std::string& each : {version, in_force}) {
     const std::string damaged = !error.empty() || each.empty() ? "" : versions_.verify(each);
     if (!damaged.empty()) error = each + ": " + damaged;
@@ -393,7 +393,7 @@
   std::vector<VersionCheck::Step> steps{step(version, version, true, version + " refuses its settings")};
   if (!in_force.empty() && in_force != version) {
     steps.push_back(
-        step(in_force, in_force, true, in_force + " refuses its settings, so there is no way back"));
+        step(in_force, in_force, true, in_force + " refuses its settings, so there is no rollback"));
     steps.push_back(step(version, in_force, false, version + " does not take the settings of " + in_force));
     steps.push_back(step(in_force, version, false, in_force + " does not take the settings of " + version));
   }
--- a/src/keeper/keeper_fleet_settings.cpp
+++ b/src/keeper/keeper_fleet_settings.cpp
@@ -24,12 +24,12 @@
 
 GathererStatus Keeper::gatherer_status() const {
   const Supervisor& supervisor = *supervisor_;
-  const ProcessState lead = supervisor.process_state(supervisor.primary_slot()),
+  const ProcessState primary = supervisor.process_state(supervisor.primary_slot()),
                      other = supervisor.process_state(1 - supervisor.primary_slot());
-  if (lead == ProcessState::none && other == ProcessState::none) return GathererStatus::absent;
+  if (primary == ProcessState::none && other == ProcessState::none) return GathererStatus::absent;
   const bool swapping =
       supervisor.swap_state() != SwapState::none && supervisor.swap_state() != SwapState::trial;
-  return lead == ProcessState::serving && !swapping ? GathererStatus::ready : GathererStatus::busy;
+  return primary == ProcessState::serving && !swapping ? GathererStatus::ready : GathererStatus::busy;
 }
 
 void Keeper::tick_fleet_settings() {
--- a/src/keeper/main.cpp
+++ b/src/keeper/main.cpp
@@ -1,7 +1,7 @@
-// marbledyke-keeper: over the gatherer of one machine. docs/keeper.md is for operators.
+// marbledyke-keeper: supervises the gatherer of one machine. docs/keeper.md is for operators.
 #include "keeper/program.h"
 
-int main(int count, char** words) {
+int main(int argc, char** argv) {
   static marbledyke::disk::LocalDisk disk;
-  return marbledyke::keeper::run(count, words, disk, marbledyke::machine_clock());
+  return marbledyke::keeper::run(argc, argv, disk, marbledyke::machine_clock());
 }
--- a/src/keeper/orders.cpp
+++ b/src/keeper/orders.cpp
@@ -114,13 +114,14 @@
 KeeperState parse_state(const std::string& text) {
   const std::size_t end = text.find('\n');
   if (end == std::string::npos || text.empty() || text.back() != '\n' || end + 1 >= text.size())
-    throw BadInput("kept state: is torn");
+    throw BadInput("state file: truncated");
   const json header = config::parse(std::string_view(text).substr(0, end));
-  if (!header.is_object()) throw BadInput("kept state: has no head");
+  if (!header.is_object()) throw BadInput("state file: the first line is not an object");
   if (const std::int64_t format = config::whole(header, "format"); format != kStateFormat)
-    throw BadInput("kept state: format " + std::to_string(format) + " is not this program's");
+    throw BadInput("state file: format " + std::to_string(format) + " is not this program's");
   const std::string body_text = text.substr(end + 1, text.size() - end - 2);
-  if (config::text(header, "checksum") != checksum_of(body_text)) throw BadInput("kept state: is damaged");
+  if (config::text(header, "checksum") != checksum_of(body_text))
+    throw BadInput("state file: checksum mismatch");
   const json body = config::parse(body_text);
   KeeperState out;
   out.should_run = body.at("wanted").get<bool>();
--- a/src/keeper/program.cpp
+++ b/src/keeper/program.cpp
@@ -38,36 +38,44 @@
 }  // namespace
 
 int run(int argc, char** argv, disk::Disk& disk, const TimeSource& clock) {
-  CLI::App app("Keeps the gatherer of this machine: versions, swaps on order, restarts, totals.");
+  CLI::App app("Supervises the gatherer of this machine: versions, ordered swaps, restarts, totals.");
   app.set_version_flag("--version", "marbledyke " MARBLEDYKE_VERSION);
   Options options;
   std::string control, log_format = "plain";
-  app.add_option("--folder", options.folder, "Its folder; one keeper each")->required();
-  app.add_option("--control", control, "Where it takes orders: loopback, a private address, unix:/PATH")
+  app.add_option("--folder", options.folder,
+                 "The directory for its state and versions; one keeper per directory")
       ->required();
-  app.add_option("--name", options.name, "Its name in the fleet")->required();
+  app.add_option("--control", control, "The address for orders: loopback, private, or unix:/PATH")
+      ->required();
+  app.add_option("--name", options.name, "The name of this keeper in the fleet")->required();
   app.add_option("--log", log_format, "plain or json")->check(CLI::IsMember({"plain", "json"}));
   std::vector<std::string> control_nodes;
   FleetSettingsOptions& settings = options.settings;
-  app.add_option("--control-node", control_nodes,
-                 "Where a control node serves the fleet's settings; once for each, the own region's first");
-  app.add_option("--preferred-control-nodes", settings.preferred, "How many of them are of the own region")
+  app.add_option(
+      "--control-node", control_nodes,
+      "The address of a control node for fleet settings; repeat for each, those of this region first");
+  app.add_option("--preferred-control-nodes", settings.preferred,
+                 "The number of control nodes of this region")
       ->check(CLI::Range(std::size_t{1}, std::size_t{64}));
-  app.add_option("--fleet", settings.fleet, "Whose settings these are; with --control-node");
-  app.add_option("--zone", settings.zone, "Where it stands; with --control-node");
+  app.add_option("--fleet", settings.fleet, "The fleet whose settings apply; with --control-node");
+  app.add_option("--zone", settings.zone, "The zone of this machine; with --control-node");
   SupervisorPolicy& policy = options.policy;
-  add_duration(app, "--start-limit", policy.start_timeout, "A process serves within this from its begin");
-  add_duration(app, "--prove", policy.proving_period, "What was swapped has to be sound for so long");
-  add_duration(app, "--prove-limit", policy.proving_timeout, "and within this");
-  add_duration(app, "--silent-after", policy.silence_timeout, "Without a word for this it hangs");
+  add_duration(app, "--start-limit", policy.start_timeout, "Time for a process to start serving");
+  add_duration(app, "--prove", policy.proving_period,
+               "A new version must be healthy for this long to be proved");
+  add_duration(app, "--prove-limit", policy.proving_timeout, "Time for a new version to be proved");
+  add_duration(app, "--silent-after", policy.silence_timeout,
+               "A process without windows or health answers for this long is hung");
   add_duration(app, "--mute-after", policy.no_progress_timeout,
-               "Takes multigets for so long and ends none: it hangs");
-  add_duration(app, "--hung-limit", policy.hung_timeout, "One that hangs is ended after this");
+               "A process that takes multigets for this long and ends none is hung");
+  add_duration(app, "--hung-limit", policy.hung_timeout, "A process that is hung for this long is killed");
   add_duration(app, "--first-wait", policy.initial_backoff,
-               "Before the second start in a row; doubles with each");
-  add_duration(app, "--longest-wait", policy.max_backoff, "and is this at most");
-  add_duration(app, "--strike-fades", policy.crash_score_decay_time, "A life of this makes up for one end");
-  app.add_option("--most-strikes", policy.max_crash_score, "Ends that count until it gives up")
+               "The backoff before the second restart in a row; doubles with each");
+  add_duration(app, "--longest-wait", policy.max_backoff, "The maximum backoff");
+  add_duration(app, "--strike-fades", policy.crash_score_decay_time,
+               "An uptime of this makes up for one unplanned exit");
+  app.add_option("--most-strikes", policy.max_crash_score,
+                 "The number of unplanned exits that count until restarts end")
       ->check(CLI::Range(2.0, 1000.0));
   CLI11_PARSE(app, argc, argv);
 
--- a/src/keeper/program.h
+++ b/src/keeper/program.h
@@ -1,4 +1,5 @@
-// The keeper's program, over a disk and a clock: the shipped one has the machine's, the lab's has bent ones.
+// The keeper's program. The shipped executable passes the local disk and clock; the lab's executable passes
+// ones that faults can be injected into.
 #pragma once
 
 #include "disk/disk.h"
@@ -6,7 +7,7 @@
 
 namespace marbledyke::keeper {
 
-// Until SIGTERM or SIGINT and the gatherer's end in order; gives the exit status.
-int run(int count, char** words, disk::Disk& disk, const TimeSource& clock);
+// Runs until SIGTERM or SIGINT and the orderly stop of the gatherer that follows. Returns the exit status.
+int run(int argc, char** argv, disk::Disk& disk, const TimeSource& clock);
 
 }  // namespace marbledyke::keeper
--- a/src/keeper/settings_supervisor.cpp
+++ b/src/keeper/settings_supervisor.cpp
@@ -174,8 +174,9 @@
   const Duration started = phase_ == SettingsPhase::waiting ? offered_since_ : since_;
   if (now_ - started < timeout_of(phase_, policy_)) return;
   const std::string reason = write_error_.empty() ? "a swap of versions did not end in time" : write_error_;
-  on(SettingsEvent::timed_out,
-     phase_ == SettingsPhase::waiting ? reason : "the gatherer did not say what it made of the settings");
+  on(SettingsEvent::timed_out, phase_ == SettingsPhase::waiting
+                                   ? reason
+                                   : "the gatherer did not report the result of the reload in time");
 }
 
 void SettingsSupervisor::on_running_revision(std::optional<std::int64_t> index) {
@@ -187,8 +188,7 @@
   on_running_revision(index);
   if (phase_ != SettingsPhase::reloading) return;
   if (!index)
-    return on(SettingsEvent::refused,
-              "the gatherer was started without settings for the fleet; start it anew");
+    return on(SettingsEvent::refused, "the gatherer was started without fleet settings; restart it");
   if (*index == settings_->index) on(SettingsEvent::accepted);
 }
 
@@ -197,7 +197,7 @@
 void SettingsSupervisor::on_gatherer_exited(bool ordered, const std::string& how) {
   running_.reset();
   on(ordered ? SettingsEvent::gatherer_stopped : SettingsEvent::gatherer_failed,
-     "the gatherer ended with these settings: " + how);
+     "the gatherer exited after loading these settings: " + how);
 }
 
 void SettingsSupervisor::on_written(SettingsAction::Type type, const std::string& error) {
--- a/src/keeper/supervisor.cpp
+++ b/src/keeper/supervisor.cpp
@@ -285,10 +285,11 @@
   const bool under_way = state_.outcome == Outcome::under_way && state_.order;
   if (under_way && (state_.order->kind == OrderKind::take || state_.order->kind == OrderKind::drop)) {
     const bool done = has_ordered_version == (state_.order->kind == OrderKind::take);
-    set_outcome(done ? Outcome::done : Outcome::refused, done ? "" : "the keeper ended before it was done");
+    set_outcome(done ? Outcome::done : Outcome::refused,
+                done ? "" : "the keeper exited before the order was complete");
   }
   if (under_way && state_.order->kind == OrderKind::try_out)
-    set_outcome(Outcome::refused, "the keeper ended before it was done");
+    set_outcome(Outcome::refused, "the keeper exited before the order was complete");
   if (!state_.should_run) {
     if (run_state_ == RunState::running) on(RunEvent::stop_requested);
     if (state_.outcome == Outcome::under_way && !first && !second) set_outcome(Outcome::done, "");
@@ -313,7 +314,7 @@
   }
   if (run_state_ != RunState::running) return on(RunEvent::run_requested);
   if (swap_ != SwapState::none || at(primary_).version == state_.in_force) return;
-  emit(Action::Type::log, primary_, at(primary_).version, "runs another version than is in force");
+  emit(Action::Type::log, primary_, at(primary_).version, "the running version is not the one in force");
   on(SwapEvent::requested);
 }
 
@@ -364,7 +365,7 @@
       return on(SwapEvent::requested);
     case OrderKind::run:
       if (run_state_ == RunState::running && at(primary_).state == ProcessState::serving)
-        return set_outcome(Outcome::done, "runs already");
+        return set_outcome(Outcome::done, "already running");
       return on(RunEvent::run_requested);
     case OrderKind::stop:
       on(SwapEvent::stopped);
@@ -417,7 +418,7 @@
     return action.type == Action::Type::reload || action.type == Action::Type::start_process;
   });
   start_pending_.reset();
-  swap_failure_ = "not linked: " + why;
+  swap_failure_ = "version could not be linked: " + why;
   switch (swap_) {
     case SwapState::none:
     case SwapState::proving:
@@ -545,15 +546,15 @@
     if (is_sound_now_ && now_ - sound_since_ >= policy_.proving_period) {
       on(SwapEvent::proved);
     } else if (now_ - swap_since_ >= policy_.proving_timeout) {
-      swap_failure_ = "it was not proved in time";
+      swap_failure_ = "not proved in time";
       on(SwapEvent::timed_out);
     }
   } else if ((swap_ == SwapState::reloading || swap_ == SwapState::rollback_reloading) &&
              now_ - swap_since_ >= policy_.reload_timeout) {
-    swap_failure_ = "it did not say what it made of the settings";
+    swap_failure_ = "the gatherer did not report the result of the reload in time";
     on(SwapEvent::timed_out);
   } else if (swap_ == SwapState::trial && now_ >= trial_until_) {
-    swap_failure_ = "it was not confirmed in time";
+    swap_failure_ = "not confirmed in time";
     on(SwapEvent::timed_out);
   }
   if (unsaved_) emit(Action::Type::persist_state);
@@ -614,21 +615,21 @@
       return on(SwapEvent::process_serving);
     case ProcessReaction::report_hung:
       emit(Action::Type::log, slot, process.version,
-           "hangs: it says or answers nothing, or ends no multiget");
+           "hung: no windows, no health answers, or no multiget ended");
       if (slot == primary_ && (swap_ == SwapState::proving || swap_ == SwapState::rollback_proving ||
                                swap_ == SwapState::trial)) {
-        swap_failure_ = "it hung";
+        swap_failure_ = "the gatherer hung";
         on(SwapEvent::failed);
       }
       return;
     case ProcessReaction::report_responsive:
-      return emit(Action::Type::log, slot, process.version, "speaks again");
+      return emit(Action::Type::log, slot, process.version, "responsive again");
     case ProcessReaction::terminate:
       return emit(Action::Type::terminate, slot);
     case ProcessReaction::kill:
       process.since = now_;
       emit(Action::Type::log, slot, process.version,
-           "ended by force: it did not come up, hung, or outstayed its stop");
+           "sending SIGKILL: did not start in time, hung, or did not stop in time");
       return emit(Action::Type::kill, slot);
     case ProcessReaction::release_slot:
       break;
@@ -646,19 +647,19 @@
 // Handles an exit without an order, or a failed start.
 void Supervisor::on_process_failed(int slot, const std::string& how) {
   state_.unplanned_exits += 1;
-  emit(Action::Type::log, slot, at(slot).version, "ended by itself: " + how);
+  emit(Action::Type::log, slot, at(slot).version, "unplanned exit: " + how);
   const bool is_starting = swap_ == SwapState::starting || swap_ == SwapState::rollback_starting;
   if (is_starting) {
     // An exit of the process that is being replaced does not stop the swap: its replacement is starting.
     if (start_pending_ || slot != newest_) return;
-    swap_failure_ = "it did not come up: " + how;
+    swap_failure_ = "the new process did not start: " + how;
     return on(SwapEvent::process_failed);
   }
   if (slot != primary_) return;
   if (swap_ == SwapState::reloading || swap_ == SwapState::rollback_reloading)
     return on(SwapEvent::process_failed);
   if (swap_ != SwapState::none) {
-    swap_failure_ = "it ended: " + how;
+    swap_failure_ = "the gatherer exited: " + how;
     return on(SwapEvent::failed);
   }
   const double uptime = static_cast<double>((now_ - at(slot).started).count());
@@ -694,8 +695,7 @@
                                                         std::exp2(doublings) * (1 + jitter_))),
                      policy_.max_backoff);
       backoff_until_ = now_ + wait;
-      emit(Action::Type::log, primary_, state_.in_force,
-           "starts again in " + std::to_string(wait / 1ms) + " ms");
+      emit(Action::Type::log, primary_, state_.in_force, "restart in " + std::to_string(wait / 1ms) + " ms");
       persist_state();
       if (wait <= Duration::zero()) on(RunEvent::backoff_elapsed);
       return;
@@ -703,9 +703,9 @@
     case RunReaction::give_up:
       state_.gave_up = true;
       emit(Action::Type::log, primary_, state_.in_force,
-           "given up: it ended too often; an order starts it again");
+           "no more restarts: too many unplanned exits; an order starts it again");
       if (state_.outcome == Outcome::under_way)
-        return set_outcome(Outcome::needs_operator, "it ended too often");
+        return set_outcome(Outcome::needs_operator, "too many unplanned exits");
       return persist_state();
   }
 }
@@ -766,7 +766,7 @@
     case SwapReaction::begin_swap: {
       const bool reloads = can_reload(target_);
       swap_ = reloads ? transition.reloading : transition.starting;
-      link_in_force("is brought in force");
+      link_in_force("bringing into force");
       on(RunEvent::process_starting);
       if (reloads) return emit(Action::Type::reload, primary_);
       return start_when_slot_free();
@@ -818,7 +818,7 @@
       }
       // A later rollback must not return to the version that failed.
       state_.in_force = std::exchange(state_.former, std::string());
-      link_in_force(("goes back: " + swap_failure_).c_str());
+      link_in_force(("rolling back: " + swap_failure_).c_str());
       const bool untouched =
           transition.reaction != SwapReaction::roll_back && primary.state == ProcessState::serving &&
           primary.info.program == former_.program && primary.configuration == former_.configuration;
@@ -837,7 +837,7 @@
       return set_outcome(Outcome::rolled_back, swap_failure_);
     case SwapReaction::fail_rollback:
       swap_ = SwapState::none;
-      set_outcome(Outcome::needs_operator, swap_failure_ + "; the way back failed as well");
+      set_outcome(Outcome::needs_operator, swap_failure_ + "; the rollback failed as well");
       if (at(primary_).state == ProcessState::none) {
         state_.crash_score += 1;
         on(RunEvent::process_failed);
@@ -847,7 +847,7 @@
       swap_ = SwapState::none;
       start_pending_.reset();
       if (before != SwapState::none)
-        emit(Action::Type::log, primary_, state_.in_force, "the swap was given up: stopped");
+        emit(Action::Type::log, primary_, state_.in_force, "swap abandoned: stopped");
       return;
   }
 }
--- a/src/keeper/version_check.cpp
+++ b/src/keeper/version_check.cpp
@@ -67,7 +67,7 @@
   if (!pidfd_) {
     kill(pid_, SIGKILL);
     waitpid(std::exchange(pid_, -1), nullptr, 0);
-    return on_step_ended(false, "it cannot be watched");
+    return on_step_ended(false, "pidfd_open failed");
   }
   watch_id_ = loop_.watch(pidfd_.get(), *this);
   timed_out_ = false;
@@ -88,8 +88,8 @@
   const ssize_t count = read(output_.get(), bytes, sizeof bytes);
   std::string output(bytes, static_cast<std::size_t>(std::max<ssize_t>(count, 0)));
   output = output.substr(0, output.find('\n'));
-  if (timed_out_) output = "it does not end";
-  if (output.empty() && status != 0) output = "it ended without a word";
+  if (timed_out_) output = "did not end in time";
+  if (output.empty() && status != 0) output = "exited without output";
   on_step_ended(!timed_out_ && WIFEXITED(status) && WEXITSTATUS(status) == 0, output);
 }
 
--- a/src/keeper/versions.cpp
+++ b/src/keeper/versions.cpp
@@ -144,11 +144,11 @@
 std::string Versions::verify(const std::string& id) const {
   try {
     const auto text = disk_.read_file(path(id) + "/" + kManifestFile, kMaxManifestBytes);
-    if (!text) return "it has no manifest";
+    if (!text) return "manifest.json is missing";
     const json manifest = config::parse(*text);
     for (const auto& [name, sum] : config::object(manifest, "files").items()) {
       if (checksum_of(path(id) + "/" + name) != sum.get<std::string>())
-        return name + ": is not as it was taken";
+        return name + ": checksum differs from the manifest";
     }
   } catch (const std::exception& wrong) {
     return wrong.what();
@@ -172,9 +172,9 @@
       id_(std::move(id)),
       source_(std::move(source)),
       partial_path_(versions.path(".part-" + id_)) {
-  if (owner_.has(id_)) throw BadInput("version: " + id_ + " is there already");
+  if (owner_.has(id_)) throw BadInput("version: " + id_ + " exists already");
   if (owner_.versions_.size() >= kMaxVersions)
-    throw BadInput("version: as many are held as may be; drop one");
+    throw BadInput("version: the maximum number of versions is stored; drop one");
   for (const char* name : {kProgramFile, kSettingsFile, "operator.xml", "marbledyke-operator"}) {
     struct stat status {};
     const std::string path = source_ + "/" + name;
@@ -247,7 +247,7 @@
   copy_->target.reset();
   const std::string checksum = copy_->checksum.hex();
   if (checksum_of(partial_path_ + "/" + copy_->name) != checksum)
-    throw DiskError(partial_path_ + "/" + copy_->name + ": reads back otherwise than it was written");
+    throw DiskError(partial_path_ + "/" + copy_->name + ": read back with another checksum than written");
   checksums_[copy_->name] = checksum;
   copy_.reset();
   file_index_ += 1;
--- a/tests/keeper_traces.cpp
+++ b/tests/keeper_traces.cpp
@@ -1,5 +1,5 @@
-// What a keeper decides, without I/O: which orders count, what is kept, and each machine under processes that
-// fail in every way. The shipped decisions run in virtual time.
+// The keeper without I/O, in virtual time: which orders are accepted, what is persisted, and the state
+// machines of keeper::Supervisor with processes that fail in every way.
 #include <cstdio>
 #include <functional>
 #include <map>
@@ -36,46 +36,48 @@
 }
 
 void orders() {
-  KeeperState kept;
-  kept.in_force = "v1";
-  kept.former = "v0";
-  kept.outcome = Outcome::done;
-  kept.order = order(OrderKind::use, 5, "v1", {}, 3);
+  KeeperState state;
+  state.in_force = "v1";
+  state.former = "v0";
+  state.outcome = Outcome::done;
+  state.order = order(OrderKind::use, 5, "v1", {}, 3);
   const Duration wall = 1000s;
-  const auto say = [&](const char* what, const Order& o, const KeeperState& k, bool has = true) {
-    std::printf("%-44s %s\n", what, keeper::name_of(keeper::check_order(o, k, wall, has)));
+  const auto print_verdict = [&](const char* description, const Order& one, const KeeperState& current,
+                                 bool has_version = true) {
+    std::printf("%-44s %s\n", description,
+                keeper::name_of(keeper::check_order(one, current, wall, has_version)));
   };
-  say("the next one", order(OrderKind::use, 6, "v2", {}, 3), kept);
-  say("one that skips numbers", order(OrderKind::use, 60, "v2", {}, 3), kept);
-  say("the same again", *kept.order, kept);
-  say("the same number, another version", order(OrderKind::use, 5, "v2", {}, 3), kept);
-  say("an earlier number", order(OrderKind::use, 4, "v2", {}, 3), kept);
-  say("an older epoch, a high number", order(OrderKind::stop, 900, {}, {}, 2), kept);
-  say("a newer epoch, number 0", order(OrderKind::stop, 0, {}, {}, 4), kept);
+  print_verdict("the next one", order(OrderKind::use, 6, "v2", {}, 3), state);
+  print_verdict("one that skips numbers", order(OrderKind::use, 60, "v2", {}, 3), state);
+  print_verdict("the same again", *state.order, state);
+  print_verdict("the same number, another version", order(OrderKind::use, 5, "v2", {}, 3), state);
+  print_verdict("an earlier number", order(OrderKind::use, 4, "v2", {}, 3), state);
+  print_verdict("an older epoch, a high number", order(OrderKind::stop, 900, {}, {}, 2), state);
+  print_verdict("a newer epoch, number 0", order(OrderKind::stop, 0, {}, {}, 4), state);
   Order late = order(OrderKind::use, 6, "v2", {}, 3);
   late.not_after_ms = 999'999;
-  say("its time is over", late, kept);
+  print_verdict("its time is over", late, state);
   late.not_after_ms = 1'000'000;
-  say("in the last millisecond", late, kept);
+  print_verdict("in the last millisecond", late, state);
   Order expects = order(OrderKind::use, 6, "v2", {}, 3);
   expects.if_in_force = "v0";
-  say("expects another version", expects, kept);
-  say("a version that is not there", order(OrderKind::use, 6, "v9", {}, 3), kept, false);
-  say("to confirm what is not on trial", order(OrderKind::confirm, 6, {}, {}, 3), kept);
-  say("to drop what is in force", order(OrderKind::drop, 6, "v1", {}, 3), kept);
-  say("to drop the way back", order(OrderKind::drop, 6, "v0", {}, 3), kept);
-  kept.outcome = Outcome::under_way;
-  say("while one is under way: use", order(OrderKind::use, 6, "v2", {}, 3), kept);
-  say("while one is under way: stop", order(OrderKind::stop, 6, {}, {}, 3), kept);
-  say("while one is under way: by the next epoch", order(OrderKind::use, 0, "v2", {}, 4), kept);
-  kept.outcome = Outcome::rolling_back;
-  say("on the way back: use", order(OrderKind::use, 6, "v2", {}, 3), kept);
-  kept.outcome = Outcome::on_trial;
-  say("on trial: confirm", order(OrderKind::confirm, 6, {}, {}, 3), kept);
-  say("on trial: use", order(OrderKind::use, 6, "v0", {}, 3), kept);
-  say("on trial: take", order(OrderKind::take, 6, "v7", {}, 3), kept);
+  print_verdict("expects another version", expects, state);
+  print_verdict("a version that is not there", order(OrderKind::use, 6, "v9", {}, 3), state, false);
+  print_verdict("to confirm what is not on trial", order(OrderKind::confirm, 6, {}, {}, 3), state);
+  print_verdict("to drop what is in force", order(OrderKind::drop, 6, "v1", {}, 3), state);
+  print_verdict("to drop the way back", order(OrderKind::drop, 6, "v0", {}, 3), state);
+  state.outcome = Outcome::under_way;
+  print_verdict("while one is under way: use", order(OrderKind::use, 6, "v2", {}, 3), state);
+  print_verdict("while one is under way: stop", order(OrderKind::stop, 6, {}, {}, 3), state);
+  print_verdict("while one is under way: by the next epoch", order(OrderKind::use, 0, "v2", {}, 4), state);
+  state.outcome = Outcome::rolling_back;
+  print_verdict("on the way back: use", order(OrderKind::use, 6, "v2", {}, 3), state);
+  state.outcome = Outcome::on_trial;
+  print_verdict("on trial: confirm", order(OrderKind::confirm, 6, {}, {}, 3), state);
+  print_verdict("on trial: use", order(OrderKind::use, 6, "v0", {}, 3), state);
+  print_verdict("on trial: take", order(OrderKind::take, 6, "v7", {}, 3), state);
   KeeperState fresh;
-  say("to run where nothing is in force", order(OrderKind::run, 1), fresh);
+  print_verdict("to run where nothing is in force", order(OrderKind::run, 1), fresh);
 
   std::puts("-- as they are written");
   for (const char* text :
@@ -88,8 +90,8 @@
         R"({"epoch":1,"number":2.5,"order":"run"})"}) {
     try {
       std::printf("%s\n", keeper::to_json(keeper::parse_order(config::parse(text))).dump().c_str());
-    } catch (const config::BadInput& wrong) {
-      std::printf("refused: %s\n", wrong.what());
+    } catch (const config::BadInput& error) {
+      std::printf("refused: %s\n", error.what());
     }
   }
   std::puts("-- where a control address may be");
@@ -103,8 +105,9 @@
   std::printf("%-20s %s\n", "0.0.0.0:0", keeper::control_address_error(wildcard).c_str());
 }
 
-// What is on the disk is as it was written, or it is refused: torn at any byte, or with any bit flipped.
-void kept() {
+// A state file that is truncated at any byte, or has any bit flipped, is refused or read as it was written;
+// it is never read as another state.
+void persisted_state() {
   KeeperState all;
   all.should_run = true;
   all.in_force = "v2";
@@ -119,16 +122,16 @@
   all.crash_score = 1.25;
   const std::string text = keeper::serialize(all);
   std::printf("read back as written: %s\n", keeper::parse_state(text) == all ? "yes" : "NO");
-  int torn = 0, flipped = 0, taken_anyway = 0;
+  int truncated = 0, flipped = 0, misread = 0;
   const auto refused = [&](const std::string& damaged) {
     try {
       const KeeperState read = keeper::parse_state(damaged);
-      return !(read == all);  // another state taken for good
+      return !(read == all);  // read as another state
     } catch (const std::exception&) {
       return true;
     }
   };
-  const auto wrongly = [&](const std::string& damaged) {
+  const auto read_as_another = [&](const std::string& damaged) {
     try {
       return !(keeper::parse_state(damaged) == all);
     } catch (const std::exception&) {
@@ -136,40 +139,40 @@
     }
   };
   for (std::size_t size = 0; size < text.size(); ++size) {
-    torn += refused(text.substr(0, size)) ? 1 : 0;
-    taken_anyway += wrongly(text.substr(0, size)) ? 1 : 0;
+    truncated += refused(text.substr(0, size)) ? 1 : 0;
+    misread += read_as_another(text.substr(0, size)) ? 1 : 0;
   }
   for (std::size_t bit = 0; bit < text.size() * 8; ++bit) {
     std::string damaged = text;
     damaged[bit / 8] = static_cast<char>(damaged[bit / 8] ^ (1 << (bit % 8)));
     flipped += refused(damaged) ? 1 : 0;
-    taken_anyway += wrongly(damaged) ? 1 : 0;
+    misread += read_as_another(damaged) ? 1 : 0;
   }
   std::printf(
       "torn at each byte: refused %s; a bit flipped: refused or the same %s; another state taken: %d\n",
-      torn == static_cast<int>(text.size()) ? "always" : "NOT ALWAYS",
-      flipped >= static_cast<int>(text.size() * 8) - 16 ? "always" : "NOT ALWAYS", taken_anyway);
+      truncated == static_cast<int>(text.size()) ? "always" : "NOT ALWAYS",
+      flipped >= static_cast<int>(text.size() * 8) - 16 ? "always" : "NOT ALWAYS", misread);
   std::string newer = text;
   newer.replace(newer.find("\"format\":1"), 10, "\"format\":2");
   try {
     keeper::parse_state(newer);
     std::puts("another format: TAKEN");
-  } catch (const config::BadInput& wrong) {
-    std::printf("another format: %s\n", wrong.what());
+  } catch (const config::BadInput& error) {
+    std::printf("another format: %s\n", error.what());
   }
 }
 
-// Merging is exact: a stream of multigets counted by one gatherer, or spread over seven and merged in any
-// order.
+// Merging totals is exact: a stream of multigets gives the same totals when it is counted by one gatherer as
+// when it is spread over seven and merged in any order.
 void counts() {
-  std::mt19937 chance(5);
+  std::mt19937 random(5);
   totals::Window whole;
   std::vector<totals::Window> parts(7);
   for (int i = 0; i < 20'000; ++i) {
     const Duration took(
-        static_cast<std::int64_t>(std::exp(4 + 10 * std::generate_canonical<double, 53>(chance))));
-    const std::string op = chance() % 3 == 0 ? "issue" : "look";
-    for (totals::Window* window : {&whole, &parts[chance() % 7]}) {
+        static_cast<std::int64_t>(std::exp(4 + 10 * std::generate_canonical<double, 53>(random))));
+    const std::string op = random() % 3 == 0 ? "issue" : "look";
+    for (totals::Window* window : {&whole, &parts[random() % 7]}) {
       totals::Count& count = window->by_op_type[op];
       count.taken += 1;
       count.answered += 1;
@@ -177,14 +180,15 @@
       count.latency.add(took);
     }
   }
-  totals::Window forth, back;
+  totals::Window forward, reverse;
   for (std::size_t i = 0; i < parts.size(); ++i) {
-    forth.merge(parts[i]);
-    back.merge(totals::read_window(nlohmann::json::parse(totals::put(parts[parts.size() - 1 - i]).dump())));
+    forward.merge(parts[i]);
+    reverse.merge(
+        totals::read_window(nlohmann::json::parse(totals::put(parts[parts.size() - 1 - i]).dump())));
   }
   std::printf("seven merged are one: %s; in the other order, written and read: %s\n",
-              forth.by_op_type == whole.by_op_type ? "yes" : "NO",
-              back.by_op_type == whole.by_op_type ? "yes" : "NO");
+              forward.by_op_type == whole.by_op_type ? "yes" : "NO",
+              reverse.by_op_type == whole.by_op_type ? "yes" : "NO");
   const totals::Count all = whole.all();
   std::printf("%llu, median %lld us, 99th %lld us\n", static_cast<unsigned long long>(all.latency.count()),
               static_cast<long long>(all.latency.at(0.5).count()),
@@ -213,49 +217,49 @@
   const auto add = [&](const char* name, const char* program, const Behaviour& behaviour) {
     out[name] = {{program, std::string("settings of ") + name}, behaviour};
   };
-  Behaviour b;
-  add("good", "p1", b);
-  add("good2", "p2", b);
-  add("settings", "p1", b);
-  b.refuses_settings = true;
-  add("refused", "p1", b);
-  add("refused2", "p2", b);
-  b = {};
-  b.needs_start = true;
-  add("wants-start", "p1", b);
-  b = {};
-  b.ends_after = 10s;
-  add("ends", "p3", b);
-  b = {};
-  b.ends_after = 100ms;
-  add("ends-at-once", "p4", b);
-  b = {};
-  b.hangs_after = 1s;
-  add("hangs", "p5", b);
-  b = {};
-  b.mute_after = 0s;
-  add("mute", "p6", b);
-  b = {};
-  b.never_serves = true;
-  add("never-serves", "p7", b);
-  b = {};
-  b.heeds_term = false;
-  add("stubborn", "p8", b);
-  b = {};
-  b.mute_after = 20s;
-  add("mute-later", "p9", b);
+  Behaviour behaviour;
+  add("good", "p1", behaviour);
+  add("good2", "p2", behaviour);
+  add("settings", "p1", behaviour);
+  behaviour.refuses_settings = true;
+  add("refused", "p1", behaviour);
+  add("refused2", "p2", behaviour);
+  behaviour = {};
+  behaviour.needs_start = true;
+  add("wants-start", "p1", behaviour);
+  behaviour = {};
+  behaviour.ends_after = 10s;
+  add("ends", "p3", behaviour);
+  behaviour = {};
+  behaviour.ends_after = 100ms;
+  add("ends-at-once", "p4", behaviour);
+  behaviour = {};
+  behaviour.hangs_after = 1s;
+  add("hangs", "p5", behaviour);
+  behaviour = {};
+  behaviour.mute_after = 0s;
+  add("mute", "p6", behaviour);
+  behaviour = {};
+  behaviour.never_serves = true;
+  add("never-serves", "p7", behaviour);
+  behaviour = {};
+  behaviour.heeds_term = false;
+  add("stubborn", "p8", behaviour);
+  behaviour = {};
+  behaviour.mute_after = 20s;
+  add("mute-later", "p9", behaviour);
   return out;
 }
 
-class Play {
+class Scenario {
  public:
-  explicit Play(const char* name) : keeper_({}, versions(), 1) {
+  explicit Scenario(const char* name) : keeper_({}, versions(), 1) {
     if (name != nullptr) std::printf("-- %s\n", name);
     keeper_.told = [this](const std::string& what) {
       if (!quiet) std::printf("%7.2f  %s\n", static_cast<double>(keeper_.now().count()) / 1e6, what.c_str());
     };
   }
-  void give(OrderKind kind, const std::string& version = {}, Duration trial = {}) {
+  void give_order(OrderKind kind, const std::string& version = {}, Duration trial = {}) {
     const auto verdict = keeper_.order(order(kind, ++number_, version, trial));
     std::printf("%7.2f  ORDER %s %s: %s\n", static_cast<double>(keeper_.now().count()) / 1e6,
                 keeper::name_of(kind), version.c_str(), verdict ? keeper::name_of(*verdict) : "no answer");
@@ -264,10 +268,10 @@
     while (keeper_.now() < when) keeper_.step();
   }
   void end() {
-    const KeeperState& kept = keeper_.kept();
+    const KeeperState& state = keeper_.kept();
     std::printf("         outcome %s%s%s; in force %s, serves %s, %d processes, %.1f s served%s%s\n",
-                keeper::name_of(kept.outcome), kept.why.empty() ? "" : ": ", kept.why.c_str(),
-                kept.in_force.c_str(), keeper_.serving_version().c_str(), keeper_.processes(),
+                keeper::name_of(state.outcome), state.why.empty() ? "" : ": ", state.why.c_str(),
+                state.in_force.c_str(), keeper_.serving_version().c_str(), keeper_.processes(),
                 static_cast<double>(keeper_.served().count()) / 1e6,
                 keeper_.broken().empty() ? "" : "; BROKEN: ", keeper_.broken().c_str());
   }
@@ -281,42 +285,42 @@
 
 void swaps() {
   {
-    Play p("settings suffice: it reads them again; another program comes up beside it");
-    p.give(OrderKind::use, "good");
+    Scenario p("settings suffice: it reads them again; another program comes up beside it");
+    p.give_order(OrderKind::use, "good");
     p.until(5s);
-    p.give(OrderKind::use, "settings");
+    p.give_order(OrderKind::use, "settings");
     p.until(10s);
-    p.give(OrderKind::use, "good2");
+    p.give_order(OrderKind::use, "good2");
     p.until(18s);
     p.end();
   }
   for (const char* bad : {"refused", "refused2", "ends-at-once", "hangs", "mute", "never-serves"}) {
-    Play p((std::string("taken back: ") + bad).c_str());
-    p.give(OrderKind::use, "good");
+    Scenario p((std::string("taken back: ") + bad).c_str());
+    p.give_order(OrderKind::use, "good");
     p.until(5s);
-    p.give(OrderKind::use, bad);
+    p.give_order(OrderKind::use, bad);
     p.until(50s);
     p.end();
   }
   {
-    Play p("some settings want a start, and its way there fails: what was read already is read back");
-    p.give(OrderKind::use, "good");
+    Scenario p("some settings want a start, and its way there fails: what was read already is read back");
+    p.give_order(OrderKind::use, "good");
     p.until(5s);
-    p.give(OrderKind::use, "wants-start");
+    p.give_order(OrderKind::use, "wants-start");
     p.until(15s);
     p.end();
   }
   {
-    Play p("the first version ever is bad: held, there is nothing to go back to");
-    p.give(OrderKind::use, "ends-at-once");
+    Scenario p("the first version ever is bad: held, there is nothing to go back to");
+    p.give_order(OrderKind::use, "ends-at-once");
     p.until(60s);
     p.end();
   }
   {
-    Play p("one that does not heed SIGTERM is followed, and ended by force");
-    p.give(OrderKind::use, "stubborn");
+    Scenario p("one that does not heed SIGTERM is followed, and ended by force");
+    p.give_order(OrderKind::use, "stubborn");
     p.until(5s);
-    p.give(OrderKind::use, "good");
+    p.give_order(OrderKind::use, "good");
     p.until(15s);
     p.end();
   }
@@ -324,36 +328,36 @@
 
 void trials() {
   {
-    Play p("on trial and confirmed");
-    p.give(OrderKind::use, "good");
+    Scenario p("on trial and confirmed");
+    p.give_order(OrderKind::use, "good");
     p.until(5s);
-    p.give(OrderKind::use, "good2", 20s);
+    p.give_order(OrderKind::use, "good2", 20s);
     p.until(15s);
-    p.give(OrderKind::confirm);
+    p.give_order(OrderKind::confirm);
     p.until(40s);
     p.end();
   }
   {
-    Play p("on trial, nobody says anything: what is proved is kept");
-    p.give(OrderKind::use, "good");
+    Scenario p("on trial, nobody says anything: what is proved is kept");
+    p.give_order(OrderKind::use, "good");
     p.until(5s);
-    p.give(OrderKind::use, "good2", 20s);
+    p.give_order(OrderKind::use, "good2", 20s);
     p.until(40s);
     p.end();
   }
   {
-    Play p("on trial, it goes bad later");
-    p.give(OrderKind::use, "good");
+    Scenario p("on trial, it goes bad later");
+    p.give_order(OrderKind::use, "good");
     p.until(5s);
-    p.give(OrderKind::use, "mute-later", 60s);
+    p.give_order(OrderKind::use, "mute-later", 60s);
     p.until(60s);
     p.end();
   }
   {
-    Play p("on trial, the keeper is killed and back: the trial goes on, by what was kept");
-    p.give(OrderKind::use, "good");
+    Scenario p("on trial, the keeper is killed and back: the trial goes on, by what was kept");
+    p.give_order(OrderKind::use, "good");
     p.until(5s);
-    p.give(OrderKind::use, "good2", 20s);
+    p.give_order(OrderKind::use, "good2", 20s);
     p.until(15s);
     p.keeper().kill_keeper();
     p.until(20s);
@@ -365,17 +369,17 @@
 
 void ends() {
   {
-    Play p("one that ends 10 s after every start: waits grow, then it is given up");
-    p.give(OrderKind::use, "ends");
+    Scenario p("one that ends 10 s after every start: waits grow, then it is given up");
+    p.give_order(OrderKind::use, "ends");
     p.until(200s);
     p.end();
-    p.give(OrderKind::run);
+    p.give_order(OrderKind::run);
     p.until(205s);
     p.end();
   }
   {
-    Play p("killed once a quarter of an hour: started at once each time");
-    p.give(OrderKind::use, "good");
+    Scenario p("killed once a quarter of an hour: started at once each time");
+    p.give_order(OrderKind::use, "good");
     for (int i = 1; i <= 3; ++i) {
       p.until(i * 900s);
       p.keeper().kill_process();
@@ -384,60 +388,61 @@
     p.end();
   }
   {
-    Play p("hangs: ended by force and started again");
-    p.give(OrderKind::use, "good");
+    Scenario p("hangs: ended by force and started again");
+    p.give_order(OrderKind::use, "good");
     p.until(5s);
-    p.give(OrderKind::use, "mute-later");
+    p.give_order(OrderKind::use, "mute-later");
     p.until(70s);
     p.end();
   }
   {
-    Play p("the keeper stands still for 30 s with an order waiting: a sound gatherer is not ended for it");
-    p.give(OrderKind::use, "good");
+    Scenario p(
+        "the keeper stands still for 30 s with an order waiting: a sound gatherer is not ended for it");
+    p.give_order(OrderKind::use, "good");
     p.until(10s);
     p.keeper().pause_keeper(true);
     p.until(20s);
-    p.give(OrderKind::stop);
+    p.give_order(OrderKind::stop);
     p.until(40s);
     p.keeper().pause_keeper(false);
     p.until(50s);
     p.end();
   }
   {
-    Play p("stopped in the middle of a swap");
-    p.give(OrderKind::use, "good");
+    Scenario p("stopped in the middle of a swap");
+    p.give_order(OrderKind::use, "good");
     p.until(5s);
-    p.give(OrderKind::use, "never-serves");
+    p.give_order(OrderKind::use, "never-serves");
     p.until(8s);
-    p.give(OrderKind::stop);
+    p.give_order(OrderKind::stop);
     p.until(20s);
     p.end();
-    p.give(OrderKind::run);
+    p.give_order(OrderKind::run);
     p.until(25s);
     p.end();
   }
   {
-    Play p("a full disk: the order is not taken, what serves serves on");
-    p.give(OrderKind::use, "good");
+    Scenario p("a full disk: the order is not taken, what serves serves on");
+    p.give_order(OrderKind::use, "good");
     p.until(5s);
     p.keeper().disk_full(true);
-    p.give(OrderKind::use, "good2");
+    p.give_order(OrderKind::use, "good2");
     p.until(10s);
     p.keeper().disk_full(false);
-    p.give(OrderKind::use, "good2");
+    p.give_order(OrderKind::use, "good2");
     p.until(20s);
     p.end();
   }
 }
 
-// Killed before each single act of a swap, and started again: it always ends with one process, of the version
-// that its state names, and the order has an outcome.
+// A keeper is killed before each single action of a swap and restarted: there is always one process in the
+// end, of the version that the state names, and the order has an outcome.
 void killed_at_each_act() {
   for (const char* target : {"settings", "good2", "refused", "refused2", "ends-at-once", "wants-start"}) {
     std::map<std::string, int> ends;
     int acts = 0;
     for (int at = 0; at < 40; ++at) {
-      Play p(nullptr);
+      Scenario p(nullptr);
       p.quiet = true;
       EmulatedKeeper& k = p.keeper();
       k.order(order(OrderKind::use, 1, "good"));
@@ -453,11 +458,11 @@
       }
       k.kill_at_act(-1);
       p.until(100s);
-      const KeeperState& kept = k.kept();
-      std::string end = std::string(keeper::name_of(kept.outcome)) + ", in force " + kept.in_force +
+      const KeeperState& state = k.kept();
+      std::string end = std::string(keeper::name_of(state.outcome)) + ", in force " + state.in_force +
                         ", serves " + k.serving_version() + ", " + std::to_string(k.processes()) + " process";
       if (!k.broken().empty()) end += ", BROKEN: " + k.broken();
-      if (k.linked() != kept.in_force) end += ", LINKED " + k.linked();
+      if (k.linked() != state.in_force) end += ", LINKED " + k.linked();
       ends[end] += 1;
     }
     std::printf("use %s, killed before each of its first %d acts:\n", target, acts);
@@ -465,28 +470,28 @@
   }
 }
 
-// Drawn lives: orders, ends, pauses and full disks at random. Afterwards, left alone, it comes to rest: one
-// process that serves what its state names, or none where none is wanted.
+// Random orders, process exits, pauses and full disks. Afterwards the keeper has to settle with one process
+// that serves the version that the state names.
 void random_lives() {
   const std::map<std::string, EmulatedVersion> all = versions();
   std::vector<std::string> names;
   for (const auto& [name, one] : all) names.push_back(name);
   std::map<std::string, int> found;
-  int orders_given = 0, restless = 0;
+  int orders_given = 0, unsettled = 0;
   for (std::uint32_t seed = 1; seed <= 400; ++seed) {
-    std::mt19937 chance(seed);
+    std::mt19937 random(seed);
     EmulatedKeeper k({}, all, seed);
     std::uint64_t number = 0, epoch = 1;
     for (int i = 0; i < 2400; ++i) {
       k.step();
-      switch (chance() % 60) {
+      switch (random() % 60) {
         case 0:
         case 1: {
           const OrderKind kinds[] = {OrderKind::use, OrderKind::use,  OrderKind::use,
                                      OrderKind::run, OrderKind::stop, OrderKind::confirm};
-          if (chance() % 10 == 0) ++epoch;
-          const auto verdict = k.order(order(kinds[chance() % 6], ++number, names[chance() % names.size()],
-                                             chance() % 2 == 0 ? Duration{} : Duration(10s), epoch));
+          if (random() % 10 == 0) ++epoch;
+          const auto verdict = k.order(order(kinds[random() % 6], ++number, names[random() % names.size()],
+                                             random() % 2 == 0 ? Duration{} : Duration(10s), epoch));
           orders_given += verdict == keeper::OrderVerdict::accepted ? 1 : 0;
           break;
         }
@@ -494,17 +499,17 @@
           k.kill_process();
           break;
         case 3:
-          if (chance() % 3 == 0) k.kill_at_act(static_cast<int>(chance() % 6));
+          if (random() % 3 == 0) k.kill_at_act(static_cast<int>(random() % 6));
           break;
         case 4:
         case 5:
           k.start_keeper();
           break;
         case 6:
-          k.pause_keeper(chance() % 3 == 0);
+          k.pause_keeper(random() % 3 == 0);
           break;
         case 7:
-          k.disk_full(chance() % 4 == 0);
+          k.disk_full(random() % 4 == 0);
           break;
         default:
           break;
@@ -514,7 +519,7 @@
     k.start_keeper();
     k.pause_keeper(false);
     k.disk_full(false);
-    // Brought to something that can be sound; whatever was under way is waited for.
+    // Orders a version that can be proved, once the order under way has ended.
     bool taken = false;
     for (int i = 0; i < 4000 && !taken; ++i) {
       k.step();
@@ -522,35 +527,35 @@
         taken = k.order(order(OrderKind::use, ++number, "good", {}, epoch)) == keeper::OrderVerdict::accepted;
     }
     for (int i = 0; i < 1200; ++i) k.step();
-    const KeeperState& kept = k.kept();
-    const bool rests =
-        taken && kept.outcome == Outcome::done && k.serving_version() == "good" && k.processes() == 1;
-    if (!rests) {
-      ++restless;
-      if (restless <= 3)
+    const KeeperState& state = k.kept();
+    const bool is_settled =
+        taken && state.outcome == Outcome::done && k.serving_version() == "good" && k.processes() == 1;
+    if (!is_settled) {
+      ++unsettled;
+      if (unsettled <= 3)
         std::printf("seed %u: taken %d, outcome %s (%s), in force %s, serves %s, %d processes\n", seed, taken,
-                    keeper::name_of(kept.outcome), kept.why.c_str(), kept.in_force.c_str(),
+                    keeper::name_of(state.outcome), state.why.c_str(), state.in_force.c_str(),
                     k.serving_version().c_str(), k.processes());
     }
     if (!k.broken().empty()) found[k.broken()] += 1;
   }
   std::printf("400 lives of 120 s: more than 2000 orders taken: %s; broken: %zu; not at rest: %d\n",
-              orders_given > 2000 ? "yes" : "NO", found.size(), restless);
+              orders_given > 2000 ? "yes" : "NO", found.size(), unsettled);
   for (const auto& [what, count] : found) std::printf("  %s: %d\n", what.c_str(), count);
 }
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int argc, char** argv) {
   const std::map<std::string, std::function<void()>> cases{{"orders", orders},
-                                                           {"kept", kept},
+                                                           {"kept", persisted_state},
                                                            {"counts", counts},
                                                            {"swaps", swaps},
                                                            {"trials", trials},
                                                            {"ends", ends},
                                                            {"killed_at_each_act", killed_at_each_act},
                                                            {"random_lives", random_lives}};
-  const auto at = count == 2 ? cases.find(words[1]) : cases.end();
+  const auto at = argc == 2 ? cases.find(argv[1]) : cases.end();
   if (at == cases.end()) return 2;
   at->second();
   return 0;
