--- a/src/keeper/versions.cpp
+++ b/src/keeper/versions.cpp
@@ -150,8 +150,8 @@
       if (checksum_of(path(id) + "/" + name) != sum.get<std::string>())
         return name + ": checksum differs from the manifest";
     }
-  } catch (const std::exception& wrong) {
-    return wrong.what();
+  } catch (const std::exception& error) {
+    return error.what();
   }
   return {};
 }
