--- a/src/keeper/program.cpp
+++ b/src/keeper/program.cpp
@@ -15,20 +15,21 @@
 namespace marbledyke::keeper {
 namespace {
 
-void duration(CLI::App& app, const char* name, Duration& into, const char* what) {
+void add_duration(CLI::App& app, const char* name, Duration& value, const char* description) {
   app.add_option_function<double>(
-         name, [&into](const double& s) { into = Duration(static_cast<std::int64_t>(s * 1e6)); },
-         std::string(what) + ", in seconds (" + std::to_string(static_cast<double>(into.count()) / 1e6) + ")")
+         name, [&value](const double& s) { value = Duration(static_cast<std::int64_t>(s * 1e6)); },
+         std::string(description) + ", in seconds (" +
+             std::to_string(static_cast<double>(value.count()) / 1e6) + ")")
       ->check(CLI::Range(0.01, 3600.0));
 }
 
-std::vector<net::Address> read_control_nodes(const std::vector<std::string>& stated) {
+std::vector<net::Address> parse_control_nodes(const std::vector<std::string>& texts) {
   std::vector<net::Address> out;
-  for (const std::string& each : stated) {
-    const auto address = net::parse_address(each);
-    if (!address) throw config::BadInput("--control-node: not an address: " + each);
+  for (const std::string& text : texts) {
+    const auto address = net::parse_address(text);
+    if (!address) throw config::BadInput("--control-node: not an address: " + text);
     if (const std::string why = control_address_error(*address); !why.empty())
-      throw config::BadInput("--control-node: " + each + " is " + why);
+      throw config::BadInput("--control-node: " + text + " is " + why);
     out.push_back(*address);
   }
   return out;
@@ -36,45 +37,55 @@
 
 }  // namespace
 
-int run(int count, char** words, disk::Disk& disk, const TimeSource& clock) {
-  CLI::App app("Keeps the gatherer of this machine: versions, swaps on order, restarts, totals.");
+int run(int argc, char** argv, disk::Disk& disk, const TimeSource& clock) {
+  CLI::App app("Supervises the gatherer of this machine: versions, ordered swaps, restarts, totals.");
   app.set_version_flag("--version", "marbledyke " MARBLEDYKE_VERSION);
   Options options;
-  std::string control, log_form = "plain";
-  app.add_option("--folder", options.folder, "Its folder; one keeper each")->required();
-  app.add_option("--control", control, "Where it takes orders: loopback, a private address, unix:/PATH")
+  std::string control, log_format = "plain";
+  app.add_option("--folder", options.folder,
+                 "The directory for its state and versions; one keeper per directory")
       ->required();
-  app.add_option("--name", options.name, "Its name in the fleet")->required();
-  app.add_option("--log", log_form, "plain or json")->check(CLI::IsMember({"plain", "json"}));
+  app.add_option("--control", control, "The address for orders: loopback, private, or unix:/PATH")
+      ->required();
+  app.add_option("--name", options.name, "The name of this keeper in the fleet")->required();
+  app.add_option("--log", log_format, "plain or json")->check(CLI::IsMember({"plain", "json"}));
   std::vector<std::string> control_nodes;
-  SettingsOptions& settings = options.settings;
-  app.add_option("--control-node", control_nodes,
-                 "Where a control node serves the fleet's settings; once for each, the own region's first");
-  app.add_option("--preferred-control-nodes", settings.preferred, "How many of them are of the own region")
+  FleetSettingsOptions& settings = options.settings;
+  app.add_option(
+      "--control-node", control_nodes,
+      "The address of a control node for fleet settings; repeat for each, those of this region first");
+  app.add_option("--preferred-control-nodes", settings.preferred,
+                 "The number of control nodes of this region")
       ->check(CLI::Range(std::size_t{1}, std::size_t{64}));
-  app.add_option("--fleet", settings.fleet, "Whose settings these are; with --control-node");
-  app.add_option("--zone", settings.zone, "Where it stands; with --control-node");
-  Policy& p = options.policy;
-  duration(app, "--start-limit", p.start_limit, "A process serves within this from its begin");
-  duration(app, "--prove", p.prove, "What was swapped has to be sound for so long");
-  duration(app, "--prove-limit", p.prove_limit, "and within this");
-  duration(app, "--silent-after", p.silent_after, "Without a word for this it hangs");
-  duration(app, "--mute-after", p.mute_after, "Takes multigets for so long and ends none: it hangs");
-  duration(app, "--hung-limit", p.hung_limit, "One that hangs is ended after this");
-  duration(app, "--first-wait", p.first_wait, "Before the second start in a row; doubles with each");
-  duration(app, "--longest-wait", p.longest_wait, "and is this at most");
-  duration(app, "--strike-fades", p.strike_fades, "A life of this makes up for one end");
-  app.add_option("--most-strikes", p.most_strikes, "Ends that count until it gives up")
+  app.add_option("--fleet", settings.fleet, "The fleet whose settings apply; with --control-node");
+  app.add_option("--zone", settings.zone, "The zone of this machine; with --control-node");
+  SupervisorPolicy& policy = options.policy;
+  add_duration(app, "--start-limit", policy.start_timeout, "Time for a process to start serving");
+  add_duration(app, "--prove", policy.proving_period,
+               "A new version must be healthy for this long to be proved");
+  add_duration(app, "--prove-limit", policy.proving_timeout, "Time for a new version to be proved");
+  add_duration(app, "--silent-after", policy.silence_timeout,
+               "A process without windows or health answers for this long is hung");
+  add_duration(app, "--mute-after", policy.no_progress_timeout,
+               "A process that takes multigets for this long and ends none is hung");
+  add_duration(app, "--hung-limit", policy.hung_timeout, "A process that is hung for this long is killed");
+  add_duration(app, "--first-wait", policy.initial_backoff,
+               "The backoff before the second restart in a row; doubles with each");
+  add_duration(app, "--longest-wait", policy.max_backoff, "The maximum backoff");
+  add_duration(app, "--strike-fades", policy.crash_score_decay_time,
+               "An uptime of this makes up for one unplanned exit");
+  app.add_option("--most-strikes", policy.max_crash_score,
+                 "The number of unplanned exits that count until restarts end")
       ->check(CLI::Range(2.0, 1000.0));
-  CLI11_PARSE(app, count, words);
+  CLI11_PARSE(app, argc, argv);
 
-  sigset_t heeded;
-  sigemptyset(&heeded);
-  for (const int one : {SIGTERM, SIGINT}) sigaddset(&heeded, one);
-  sigprocmask(SIG_BLOCK, &heeded, nullptr);
+  sigset_t signals_handled;
+  sigemptyset(&signals_handled);
+  for (const int signal_number : {SIGTERM, SIGINT}) sigaddset(&signals_handled, signal_number);
+  sigprocmask(SIG_BLOCK, &signals_handled, nullptr);
   signal(SIGPIPE, SIG_IGN);
   try {
-    log::open(log::Level::info, log_form == "json" ? log::Form::json : log::Form::plain, options.name);
+    log::open(log::Level::info, log_format == "json" ? log::Form::json : log::Form::plain, options.name);
     const auto address = net::parse_address(control);
     if (!address) throw config::BadInput("--control: not an address: " + control);
     if (const std::string why = control_address_error(*address); !why.empty())
@@ -82,18 +93,18 @@
     options.control = *address;
     if (options.folder.empty() || options.folder.front() != '/')
       throw config::BadInput("--folder: not an absolute path: " + options.folder);
-    settings.control_nodes = read_control_nodes(control_nodes);
+    settings.control_nodes = parse_control_nodes(control_nodes);
     if (!settings.control_nodes.empty() && (settings.fleet.empty() || settings.zone.empty()))
       throw config::BadInput("--control-node: needs --fleet and --zone");
     settings.preferred = std::min(settings.preferred, settings.control_nodes.size());
     net::Loop loop(clock);
     Keeper keeper(loop, disk, options);
-    net::Signals signals(loop, heeded, [&keeper] { keeper.leave(); });
+    net::Signals signals(loop, signals_handled, [&keeper] { keeper.shut_down(); });
     log::event(log::Level::info, "keeper.serving", {{"control", control}});
-    while (keeper.running()) loop.run_once();
+    while (keeper.is_running()) loop.run_once();
     return EXIT_SUCCESS;
-  } catch (const std::exception& wrong) {
-    std::cerr << "marbledyke-keeper: " << wrong.what() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << "marbledyke-keeper: " << error.what() << '\n';
     return EXIT_FAILURE;
   }
 }
