--- a/src/decision_engine.cpp
+++ b/src/decision_engine.cpp
@@ -38,7 +38,7 @@
 // Choice among the replicas of a part, from the design.
 constexpr double kPreferenceMargin = 1.05;  // the preferred replica keeps a part within 5% of the least load
 constexpr double kTieExtraShare = 0.2;  // on ties, a replica takes a fifth of a shard's parts above its share
-constexpr Duration kRecentCostDecay = 1s;
+constexpr Duration kRecentCostDecay = 1s;  // of the cost recently sent to a replica
 constexpr Duration kPartCountDecay = 10s;  // of counts of recent parts and multigets
 constexpr Duration kWarmFlowDecay = 5s;    // of the cost sent to warm replicas
 constexpr double kNewCallLoadFactor = 3;   // weight of a new call's overhead as load
@@ -59,7 +59,9 @@
 constexpr double kMoveOverdueFactor = 6;       // multiple at which it is moved where hedging is not allowed
 constexpr double kMoveUnresponsiveFactor = 3;  // the same if the replica does not answer a probe either
 constexpr Duration kMinUnansweredProbeTime = 100ms;  // after which a probe counts as not answered
-constexpr double kUnansweredProbeFactor = 20;        // the same, as a multiple of the mean probe time
+// Multiple of the mean probe time that has the same effect; also the load, as a multiple of its age, that an
+// unanswered probe stands for.
+constexpr double kUnansweredProbeFactor = 20;
 constexpr Duration kRetryRoundPause = 100ms;       // per earlier send, before a part tries its replicas again
 constexpr double kSlowdownGain = 0.2;              // weight of the newest answer in a replica's slowdown
 constexpr Duration kSlowdownDecay = 10s;           // of a replica's slowdown towards the fleet's
@@ -72,7 +74,7 @@
 constexpr double kCalmWaitRatio = 2;          // calm while answers take up to this multiple of their own work
 constexpr double kCongestedWaitRatio = 4;     // fully congested from this multiple
 constexpr double kFleetLoadGain = 0.02;       // weight of the newest answer in the fleet's wait and load
-constexpr double kAverageGain = 0.05;         // weight of the newest value in slower moving averages
+constexpr double kAverageGain = 0.05;         // weight of the newest value in the other moving averages
 constexpr double kMissRateGain = 0.1;         // weight of the newest multiget in the miss rate
 
 // Probes.
@@ -82,8 +84,7 @@
 
 // Cold replicas.
 constexpr double kColdShareOverbooking = 4;  // one of so many gatherers uses its share of a cold replica
-constexpr double kMaxSavedColdSends =
-    2;  // unused share is saved up to this many sends: the next one and one after
+constexpr double kMaxSavedColdSends = 2;     // cap of saved share: the next send and one after
 
 }  // namespace
 
@@ -94,15 +95,16 @@
         multigets(static_cast<std::size_t>(settings.at_least("limits.max-open", 1000, 1))),
         parts(static_cast<std::size_t>(settings.at_least("limits.max-open", 1000, 1))) {
     read_settings();
-    const auto room = static_cast<std::size_t>(settings.number("limits.max-open", 1000));
+    const auto max_open = static_cast<std::size_t>(settings.number("limits.max-open", 1000));
     for (auto* list :
          {&open_multigets, &pending_parts, &releasable_multigets, &pending_probes, &touched_replicas})
-      list->reserve(room * 2);
-    planned_sends.reserve(room * 2);
-    part_estimates.reserve(room);
-    cancellations.reserve(room * 2);
+      list->reserve(max_open * 2);
+    planned_sends.reserve(max_open * 2);
+    part_estimates.reserve(max_open);
+    cancellations.reserve(max_open * 2);
   }
 
+  // Reads all settings. Throws std::invalid_argument if one is invalid.
   void read_settings() {
     read_op_types();
     call_overhead = settings.at_least("specifics.overhead", 0, 0);
@@ -431,12 +433,12 @@
     r.success_by_op_type.assign(op_types.size(), r.success);
   }
 
-  void record_result(SuccessEstimate& b, double successes, double failures, Duration memory) {
-    const double decay = exponential_decay(now - b.updated_at, memory);
-    b.successes =
-        std::min(kPriorSuccesses + (b.successes - kPriorSuccesses) * decay + successes, kMaxSuccesses);
-    b.failures = std::min(b.failures * decay + failures, kMaxFailures);
-    b.updated_at = now;
+  void record_result(SuccessEstimate& estimate, double successes, double failures, Duration memory) {
+    const double decay = exponential_decay(now - estimate.updated_at, memory);
+    estimate.successes =
+        std::min(kPriorSuccesses + (estimate.successes - kPriorSuccesses) * decay + successes, kMaxSuccesses);
+    estimate.failures = std::min(estimate.failures * decay + failures, kMaxFailures);
+    estimate.updated_at = now;
   }
 
   // Records results of one op type. A replica that fails only one op type looks healthy overall, so each op
@@ -450,6 +452,7 @@
                   kOpTypeResultDecay);
   }
 
+  // Decays the measurements of a replica to the current time.
   void decay_to_now(Replica& r) {
     const Duration age = now - r.decayed_at;
     if (age <= Duration::zero()) return;
@@ -550,6 +553,7 @@
 
   // ---- replies ----
 
+  // Cancels the sends in flight of a part, of its first `end` sends.
   void cancel_sends(int slot, int end = static_cast<int>(kMaxSendsPerPart)) {
     if (!cancellation_allowed) return;
     Part& part = parts.at(slot);
@@ -568,14 +572,16 @@
     miss_rate += kMissRateGain * ((in_time ? 0 : 1) - miss_rate);
     mg.closed = true;
     if (mg.admitted && mg.expected_micros > 0) {
-      double& stretch = op_type_of(mg).duration_ratio;
+      double& mean_ratio = op_type_of(mg).duration_ratio;
       const double ratio = to_micros(now - mg.received_at) / mg.expected_micros;
-      stretch = std::clamp(stretch * std::pow(std::clamp(ratio / stretch, 0.2, 5.0), kAverageGain), 0.2, 5.0);
+      mean_ratio =
+          std::clamp(mean_ratio * std::pow(std::clamp(ratio / mean_ratio, 0.2, 5.0), kAverageGain), 0.2, 5.0);
     }
     abandon_parts(mg);
     queue_release_if_done(slot);
   }
 
+  // Cancels what is in flight and pending of a multiget.
   void abandon_parts(const Multiget& mg) {
     for (int p = mg.first_part; p >= 0; p = parts.at(p).next_part) {
       parts.at(p).pending = false;
@@ -605,7 +611,7 @@
   }
 
   // Decides the reply to a multiget; every reply passes here, once for each step. Enforces rules 1, 2 and 5.
-  ReplyDecision decide_reply(int slot, MultigetOutcome outcome, bool whole, Duration retry_after) {
+  ReplyDecision decide_reply(int slot, MultigetOutcome outcome, bool complete, Duration retry_after) {
     Multiget& mg = multigets.at(slot);
     const OpType& op = op_type_of(mg);
     if (outcome != MultigetOutcome::answer) {
@@ -618,15 +624,15 @@
         }
       }
       outcome = harmless ? MultigetOutcome::push_back : MultigetOutcome::fail;
-      whole = false;
+      complete = false;
       if (!settings.flag("limits.retry-after", false) || !harmless) retry_after = Duration::zero();
       retry_after = std::min(retry_after, settings.duration("limits.max-retry-after", 0s));
     }
     const bool second_step_follows =
         outcome == MultigetOutcome::answer && mg.step == 1 && op.second_step_parts > 0;
-    ReplyDecision decision{mg.id, outcome, whole, retry_after};
+    ReplyDecision decision{mg.id, outcome, complete, retry_after};
     if (second_step_follows) {
-      mg.first_step_complete = whole;
+      mg.first_step_complete = complete;
       mg.step = 2;
       mg.returned_weight = mg.lost_weight = 0;
       mg.parts_to_receive = std::min(op.second_step_parts, mg.returned_part_count);
@@ -643,25 +649,27 @@
       Multiget& mg = multigets.at(slot);
       if (mg.closed) continue;
       const OpType& op = op_type_of(mg);
-      const double need = mg.step == 1 ? op.complete_weight : 1.0;
-      if (mg.parts_to_receive == 0 && mg.returned_weight >= need - kWeightTolerance) {
+      const double required_weight = mg.step == 1 ? op.complete_weight : 1.0;
+      if (mg.parts_to_receive == 0 && mg.returned_weight >= required_weight - kWeightTolerance) {
         return decide_reply(slot, MultigetOutcome::answer, mg.step == 1 || mg.first_step_complete,
                             Duration::zero());
       }
-      const bool late = now >= mg.received_at + op.latency_budget;
-      const bool closing = now >= mg.received_at + op.latency_budget - kReviewInterval - 2 * tick;
+      const bool past_budget = now >= mg.received_at + op.latency_budget;
+      const bool near_budget_end = now >= mg.received_at + op.latency_budget - kReviewInterval - 2 * tick;
       const bool has_min_weight = op.min_weight < op.complete_weight && mg.parts_to_receive == 0 &&
                                   mg.returned_weight >= op.min_weight - kWeightTolerance;
       // Lost weight that makes an answer impossible ends the multiget at once, unless the remaining parts may
       // still make an incomplete answer.
       const double possible_weight = 1 - mg.lost_weight + kWeightTolerance;
-      const bool cannot_answer = possible_weight < std::min(need, op.min_weight) ||
-                                 (possible_weight < need && has_min_weight && mg.sends_in_flight == 0);
-      if (now >= mg.reply_deadline || cannot_answer || (closing && op.partial_value > 0 && has_min_weight)) {
+      const bool cannot_answer =
+          possible_weight < std::min(required_weight, op.min_weight) ||
+          (possible_weight < required_weight && has_min_weight && mg.sends_in_flight == 0);
+      if (now >= mg.reply_deadline || cannot_answer ||
+          (near_budget_end && op.partial_value > 0 && has_min_weight)) {
         return decide_reply(slot, has_min_weight ? MultigetOutcome::answer : MultigetOutcome::push_back,
                             false, Duration::zero());
       }
-      if (late && (op.late_share <= 0 || fleet_slowdown > 3))
+      if (past_budget && (op.late_share <= 0 || fleet_slowdown > 3))
         return decide_reply(slot, MultigetOutcome::push_back, false, 0s);
       if (!mg.admitted && mg.parts_to_receive == 0) {
         if (is_waiting_for_probes(mg)) continue;
@@ -765,6 +773,8 @@
                       0.0, 1.0);
   }
 
+  // Returns the longest expected duration, in microseconds, with which a multiget is admitted. Under
+  // congestion it depends on the importance per unit of work.
   double admission_limit(const Multiget& mg, const OpType& op) {
     double cost = call_overhead;
     for (int p = mg.first_part; p >= 0; p = parts.at(p).next_part) cost += parts.at(p).cost;
@@ -781,6 +791,7 @@
 
   // ---- placement ----
 
+  // Returns the fraction of its full speed at which a replica works: below 1 for some time after its start.
   double warmth(const Replica& r) const {
     if (!r.started) return 1;
     const Duration age = std::max(now - *r.started, Duration::zero());
@@ -829,6 +840,8 @@
     });
   }
 
+  // Returns whether sending a part once more is within the limits of its op type: the number of sends, and
+  // rule 2.
   bool can_resend(const Part& part, const Multiget& mg) const {
     if (part.send_count >= max_sends_per_part) return false;
     const OpType& op = op_type_of(mg);
@@ -849,9 +862,9 @@
     const Multiget& mg = multigets.at(part.multiget);
     if (mg.closed || part.returned || part.step != mg.step || now >= mg.reply_deadline) return false;
     if (!can_resend(part, mg)) return false;
-    const int out = part.sends_in_flight();
-    if (out > 0 && (out > 1 || !hedging_allowed)) return false;
-    return part.send_count == 0 || has_resend_budget(out > 0);
+    const int in_flight = part.sends_in_flight();
+    if (in_flight > 0 && (in_flight > 1 || !hedging_allowed)) return false;
+    return part.send_count == 0 || has_resend_budget(in_flight > 0);
   }
 
   // Returns whether a replica may be sent this part. Every send passes here; enforces rules 3 and 4.
@@ -878,8 +891,8 @@
     const double warm = warmth(r);
     if (warm >= 1) return true;
     const auto& [oldest, oldest_work] = r.recent_cold_sends[r.next_cold_send % r.recent_cold_sends.size()];
-    if (oldest_work > 0 && now - oldest <= overload_window)
-      return false;  // more sends than the ring can count
+    // The window holds more sends than the ring can count.
+    if (oldest_work > 0 && now - oldest <= overload_window) return false;
     double sent = 0;
     for (const auto& [at, work] : r.recent_cold_sends)
       sent += work > 0 && now - at <= overload_window ? work : 0;
@@ -895,24 +908,25 @@
           }));
     }
     const double work_per_replica = std::max(flow / std::max(warm_replica_count, 1.0), 1e6 / gatherer_count);
-    const double room = overload_multiple * warm * work_per_replica * to_seconds(overload_window);
-    if (sent > 0 || cost <= room) return sent + cost <= room;
-    return accrued_cold_credit(r, cost, room) >= cost;
+    const double window_share = overload_multiple * warm * work_per_replica * to_seconds(overload_window);
+    if (sent > 0 || cost <= window_share) return sent + cost <= window_share;
+    return accrued_cold_credit(r, cost, window_share) >= cost;
   }
 
   // Returns the credit of a cold replica, in microseconds of work, after it has accrued until now. A share of
   // less than one send per window is saved until it covers one. Since few gatherers use their share, credit
   // accrues at twice the share, and a replica that has just started begins with the credit of some windows.
   // Both shrink towards the plain share as more of the recent parts are for the replica's cell.
-  double accrued_cold_credit(Replica& r, double cost, double room) {
+  double accrued_cold_credit(Replica& r, double cost, double window_share) {
     const double cell_parts =
         part_count_by_cell[static_cast<std::size_t>(r.cell)].recent(now, kPartCountDecay) - 1;
     const double even_share = total_part_count.recent(now, kPartCountDecay) * width / cells;
     const double overbooking = kColdShareOverbooking * even_share / std::max({cell_parts, even_share, 1e-9});
     if (r.cold_credit.server_start != r.started)
-      r.cold_credit = {cost * std::uniform_real_distribution<>()(rng) + room * std::max(overbooking - 1, 0.0),
-                       now, r.started};
-    return r.cold_credit.accrue(now, room * std::max(overbooking / 2, 1.0), overload_window,
+      r.cold_credit = {
+          cost * std::uniform_real_distribution<>()(rng) + window_share * std::max(overbooking - 1, 0.0), now,
+          r.started};
+    return r.cold_credit.accrue(now, window_share * std::max(overbooking / 2, 1.0), overload_window,
                                 kMaxSavedColdSends * cost);
   }
 
@@ -924,17 +938,17 @@
         sample_success(r.success_by_op_type[static_cast<std::size_t>(op_type)], kOpTypeResultDecay));
   }
 
-  double sample_success(SuccessEstimate& b, Duration memory) {
-    if (b.sampled_at == now) return b.sample;
-    record_result(b, 0, 0, memory);
-    b.sampled_at = now;
-    b.sample = 1;
-    if (b.failures > 0.3) {
-      const double x = std::gamma_distribution<double>(b.successes, 1)(rng);
-      const double y = std::gamma_distribution<double>(b.failures, 1)(rng);
-      b.sample = x / std::max(x + y, 1e-9);
+  double sample_success(SuccessEstimate& estimate, Duration memory) {
+    if (estimate.sampled_at == now) return estimate.sample;
+    record_result(estimate, 0, 0, memory);
+    estimate.sampled_at = now;
+    estimate.sample = 1;
+    if (estimate.failures > 0.3) {
+      const double x = std::gamma_distribution<double>(estimate.successes, 1)(rng);
+      const double y = std::gamma_distribution<double>(estimate.failures, 1)(rng);
+      estimate.sample = x / std::max(x + y, 1e-9);
     }
-    return b.sample;
+    return estimate.sample;
   }
 
   // Returns the replica that a part goes to, or -1 if the part may not be sent now.
@@ -993,6 +1007,7 @@
                        static_cast<std::size_t>(shard % shards)];
   }
 
+  // Plans a send of a part to a replica and accounts for it.
   void add_send(int slot, int to) {
     Part& part = parts.at(slot);
     Multiget& mg = multigets.at(part.multiget);
@@ -1047,12 +1062,12 @@
           SendRecord& s = part.send(i);
           if (!s.in_flight || s.cancelled) continue;
           Replica& r = replica_at(s.replica);
-          const double over = to_micros(now - s.sent_at) / std::max(s.expected_micros, 1.0);
-          if (over > 1.5) {
-            r.overdue_factor = std::max(r.overdue_factor, over);
+          const double overdue = to_micros(now - s.sent_at) / std::max(s.expected_micros, 1.0);
+          if (overdue > 1.5) {
+            r.overdue_factor = std::max(r.overdue_factor, overdue);
             touched_replicas.push_back(s.replica);
           }
-          if (over > kHedgeOverdueFactor && !s.counted_overdue) {
+          if (overdue > kHedgeOverdueFactor && !s.counted_overdue) {
             s.counted_overdue = true;
             record_result(r, multigets.at(m).op_type, 0, 0.5);
           }
@@ -1074,6 +1089,7 @@
                std::max(kMinUnansweredProbeTime, from_micros(kUnansweredProbeFactor * mean_probe_micros));
   }
 
+  // Hedges overdue parts or, where hedging is not allowed, moves them to another replica.
   void hedge_or_move_overdue_parts() {
     for (const int m : open_multigets) {
       const Multiget& mg = multigets.at(m);
@@ -1089,8 +1105,8 @@
             !can_resend(part, mg))
           continue;
         if (part.sends_in_flight() > 1) {
-          cancel_sends(p,
-                       part.send_count - 1);  // both are overdue: the older one is cancelled to allow a third
+          // Both sends are overdue: the older one is cancelled to allow a third.
+          cancel_sends(p, part.send_count - 1);
           continue;
         }
         if (!hedging_allowed && last.cancelled) continue;
@@ -1108,6 +1124,7 @@
     }
   }
 
+  // Decides all sends of this turn: pending parts first, in the order of falling cost, then hedges.
   void plan_sends() {
     sends_planned = true;
     planned_sends.clear();
@@ -1148,9 +1165,9 @@
 
   std::optional<SendCancellation> next_cancellation() {
     if (cancellations.empty()) return std::nullopt;
-    const SendCancellation w = cancellations.back();
+    const SendCancellation cancellation = cancellations.back();
     cancellations.pop_back();
-    return w;
+    return cancellation;
   }
 
   std::optional<Send> next_send() {
@@ -1187,8 +1204,9 @@
   std::vector<OpType> op_types;
   std::vector<Customer> customers;
   double call_overhead = 0;
-  int current_op_types =
-      1;  // op types of the current settings; behind them come those that open multigets still have
+  // The number of op types in the current settings. Behind them in op_types come those of earlier settings
+  // that open multigets still have.
+  int current_op_types = 1;
   int max_parts_per_call = 1, cells = 1, width = 1, shards = 1, max_sends_per_part = 1, zone = 0;
   double gatherer_count = 1;
   Duration tick{}, connect_timeout{}, warm_up_time{}, overload_window{},
@@ -1224,14 +1242,14 @@
   bool sends_planned = false, probing_allowed = false;
   std::uint64_t next_arrival_order = 0;
   double fleet_slowdown = 1;
-  double fleet_wait_ratio = 1;  // mean of answer time over own work
-  double total_allowance_per_s = 0,
-         recent_multiget_count = 0;  // multigets per second; recent multigets, decaying
+  double fleet_wait_ratio = 1;       // mean of answer time over own work
+  double total_allowance_per_s = 0;  // multigets per second of all customers at this gatherer
+  double recent_multiget_count = 0;  // decaying; without clients' retries
   double mean_value_density = 0, mean_send_cost = 100'000, probe_price = 0, mean_probe_micros = 1000;
-  double miss_rate = 0.05;  // fraction of own multigets not answered within the latency budget
-  double fleet_others_load = 0,
-         fleet_parts_held = 1;  // means over replicas: others_load, and parts held according to load reports
-  double warm_cost_flow = 0;    // cost of answers from warm replicas, decaying
+  double miss_rate = 0.05;       // fraction of own multigets not answered within the latency budget
+  double fleet_others_load = 0;  // moving average of Replica::others_load
+  double fleet_parts_held = 1;   // moving average of the parts that a replica holds, from load reports
+  double warm_cost_flow = 0;     // cost of answers from warm replicas, decaying
   std::array<double, 4> parts_per_reported_unit{};  // parts held for each unit of a reported value
   bool list_is_remembered = false, watching_list = false;
   std::optional<Duration> list_call_sent_at, scheduled_wake;
