--- a/src/model/settings_reader.h
+++ b/src/model/settings_reader.h
@@ -15,12 +15,12 @@
 // type or out of range throws std::invalid_argument with the setting's name.
 class SettingsReader {
  public:
-  explicit SettingsReader(FlatSettings terms) : settings_(std::move(terms)) {}
+  explicit SettingsReader(FlatSettings settings) : settings_(std::move(settings)) {}
 
   double number(std::string_view name, double otherwise) const {
-    const auto at = settings_.find(name);
-    if (at == settings_.end()) return otherwise;
-    const double* value = std::get_if<double>(&at->second);
+    const auto setting = settings_.find(name);
+    if (setting == settings_.end()) return otherwise;
+    const double* value = std::get_if<double>(&setting->second);
     if (value == nullptr || !std::isfinite(*value)) reject(name, "must be a number");
     return *value;
   }
@@ -41,16 +41,16 @@
     return Duration(static_cast<std::int64_t>(at_least(name, static_cast<double>(otherwise.count()), 0)));
   }
   bool flag(std::string_view name, bool otherwise) const {
-    const auto at = settings_.find(name);
-    if (at == settings_.end()) return otherwise;
-    const bool* value = std::get_if<bool>(&at->second);
+    const auto setting = settings_.find(name);
+    if (setting == settings_.end()) return otherwise;
+    const bool* value = std::get_if<bool>(&setting->second);
     if (value == nullptr) reject(name, "must be true or false");
     return *value;
   }
   std::string text(std::string_view name, std::string_view otherwise) const {
-    const auto at = settings_.find(name);
-    if (at == settings_.end()) return std::string(otherwise);
-    const std::string* value = std::get_if<std::string>(&at->second);
+    const auto setting = settings_.find(name);
+    if (setting == settings_.end()) return std::string(otherwise);
+    const std::string* value = std::get_if<std::string>(&setting->second);
     if (value == nullptr) reject(name, "must be a string");
     return *value;
   }
--- a/src/model/sliding_window_counter.h
+++ b/src/model/sliding_window_counter.h
@@ -13,27 +13,27 @@
 // The sum over the slices is either an upper or a lower bound of the exact count, as the caller asks.
 class SlidingWindowCounter {
  public:
-  // Changes the length of the window. If the length differs, the counter restarts with `kept` events, counted
-  // as if they happened at `now`. A longer window would reach further back than the counts do, so if `kept`
-  // is above 0 it starts with kUnknownCount and stays that full for one window.
-  void set_window(Duration window, Duration now, double kept) {
+  // Changes the length of the window. If the length differs, the counter restarts with `initial_count`
+  // events, counted as if they happened at `now`. A longer window would reach further back than the counts
+  // do, so if `initial_count` is above 0 it starts with kUnknownCount and stays that full for one window.
+  void set_window(Duration window, Duration now, double initial_count) {
     const Duration slice = std::max(window / kSlices, Duration(1));
     if (slice == slice_) return;
-    if (slice > slice_ && kept > 0) kept = kUnknownCount;
+    if (slice > slice_ && initial_count > 0) initial_count = kUnknownCount;
     slice_ = slice;
     counts_.fill(0);
     add(now);
-    counts_[static_cast<std::size_t>((now / slice_) % kBuckets)] = kept;
+    counts_[static_cast<std::size_t>((now / slice_) % kBuckets)] = initial_count;
   }
 
   void add(Duration now) {
-    const std::int64_t present = now / slice_;
-    const auto place = static_cast<std::size_t>(present % kBuckets);
-    if (slice_numbers_[place] != present) {
-      slice_numbers_[place] = present;
-      counts_[place] = 0;
+    const std::int64_t current_slice = now / slice_;
+    const auto bucket = static_cast<std::size_t>(current_slice % kBuckets);
+    if (slice_numbers_[bucket] != current_slice) {
+      slice_numbers_[bucket] = current_slice;
+      counts_[bucket] = 0;
     }
-    counts_[place] += 1;
+    counts_[bucket] += 1;
   }
 
   // Returns at least the exact count: the oldest slice, partly outside the window, counts in full.
@@ -48,10 +48,10 @@
   static constexpr std::int64_t kBuckets = kSlices + 1;
 
   double sum(Duration now, std::int64_t oldest) const {
-    const std::int64_t present = now / slice_;
+    const std::int64_t current_slice = now / slice_;
     double total = 0;
     for (std::size_t i = 0; i < counts_.size(); ++i) {
-      if (const std::int64_t age = present - slice_numbers_[i]; counts_[i] > 0 && age <= oldest)
+      if (const std::int64_t age = current_slice - slice_numbers_[i]; counts_[i] > 0 && age <= oldest)
         total += counts_[i];
     }
     return total;
--- a/src/model/slot_map.h
+++ b/src/model/slot_map.h
@@ -15,26 +15,26 @@
 template <class T>
 class SlotMap {
  public:
-  explicit SlotMap(std::size_t room) {
-    slots_.reserve(room);
-    free_slots_.reserve(room);
-    rebuild(room);
+  explicit SlotMap(std::size_t capacity) {
+    slots_.reserve(capacity);
+    free_slots_.reserve(capacity);
+    rebuild(capacity);
   }
 
   // Returns the slot of a new, default-constructed object with the given id.
   int insert(const RequestId& id) {
     if ((slots_.size() - free_slots_.size() + 1) * 2 > index_.size()) rebuild(slots_.size() * 2);
-    int place = static_cast<int>(slots_.size());
+    int slot = static_cast<int>(slots_.size());
     if (free_slots_.empty()) {
       slots_.emplace_back();
     } else {
-      place = free_slots_.back();
+      slot = free_slots_.back();
       free_slots_.pop_back();
-      slots_[static_cast<std::size_t>(place)] = T{};
+      slots_[static_cast<std::size_t>(slot)] = T{};
     }
-    at(place).id = id;
-    index_slot(place);
-    return place;
+    at(slot).id = id;
+    index_slot(slot);
+    return slot;
   }
 
   // Returns the slot of the object with this id, or -1.
@@ -46,24 +46,24 @@
   }
 
   // Frees a slot. Later entries of the probe sequence move into the gap of the index, since a search stops at
-  // the first empty index place.
-  void erase(int place) {
+  // the first empty index entry.
+  void erase(int slot) {
     const std::size_t mask = index_.size() - 1;
-    std::size_t hole = preferred_index(at(place).id);
-    while (index_[hole] != place) hole = (hole + 1) & mask;
-    for (std::size_t i = (hole + 1) & mask; index_[i] >= 0; i = (i + 1) & mask) {
-      const std::size_t want = preferred_index(at(index_[i]).id);
-      if (((i - want) & mask) >= ((i - hole) & mask)) {
-        index_[hole] = index_[i];
-        hole = i;
+    std::size_t gap = preferred_index(at(slot).id);
+    while (index_[gap] != slot) gap = (gap + 1) & mask;
+    for (std::size_t i = (gap + 1) & mask; index_[i] >= 0; i = (i + 1) & mask) {
+      const std::size_t preferred = preferred_index(at(index_[i]).id);
+      if (((i - preferred) & mask) >= ((i - gap) & mask)) {
+        index_[gap] = index_[i];
+        gap = i;
       }
     }
-    index_[hole] = -1;
-    free_slots_.push_back(place);
+    index_[gap] = -1;
+    free_slots_.push_back(slot);
   }
 
-  T& at(int place) { return slots_[static_cast<std::size_t>(place)]; }
-  const T& at(int place) const { return slots_[static_cast<std::size_t>(place)]; }
+  T& at(int slot) { return slots_[static_cast<std::size_t>(slot)]; }
+  const T& at(int slot) const { return slots_[static_cast<std::size_t>(slot)]; }
 
  private:
   std::size_t preferred_index(const RequestId& id) const {
@@ -72,21 +72,21 @@
     return (h ^ (h >> 29)) & (index_.size() - 1);
   }
 
-  void index_slot(int place) {
-    std::size_t i = preferred_index(at(place).id);
+  void index_slot(int slot) {
+    std::size_t i = preferred_index(at(slot).id);
     while (index_[i] >= 0) i = (i + 1) & (index_.size() - 1);
-    index_[i] = place;
+    index_[i] = slot;
   }
 
-  void rebuild(std::size_t room) {
-    std::vector<int> held;
-    for (int place : index_) {
-      if (place >= 0) held.push_back(place);
+  void rebuild(std::size_t capacity) {
+    std::vector<int> used_slots;
+    for (int slot : index_) {
+      if (slot >= 0) used_slots.push_back(slot);
     }
     std::size_t size = 64;
-    while (size < room * 4) size *= 2;
+    while (size < capacity * 4) size *= 2;
     index_.assign(size, -1);
-    for (int place : held) index_slot(place);
+    for (int slot : used_slots) index_slot(slot);
   }
 
   std::vector<T> slots_;
--- a/src/model/state.h
+++ b/src/model/state.h
@@ -32,8 +32,9 @@
   double late_share = 0;       // fraction of the value that an answer after the latency budget keeps
   double min_weight = 1;       // weight that has to return for any answer
   double complete_weight = 1;  // weight that has to return for a complete answer
-  double partial_value =
-      0;  // value of an incomplete answer, as a fraction; 0: it is not worth replying early
+  // Value of an incomplete answer, as a fraction of a complete one; 0: an early incomplete reply is worth
+  // nothing.
+  double partial_value = 0;
   int second_step_parts = 0;     // parts of a second step; 0: there is none
   double typical_part_cost = 0;  // learned: microseconds of work of a part without a cost hint
   double duration_ratio = 1;     // learned: actual over expected duration of multigets
--- a/tests/scripted_gatherer.h
+++ b/tests/scripted_gatherer.h
@@ -11,6 +11,7 @@
 
 using namespace std::chrono_literals;
 
+// Returns an id that consists of `name`, padded with zeros. Names have no zeros.
 inline RequestId request_id(const std::string& name) {
   RequestId id;
   id.text.fill('0');
@@ -18,6 +19,7 @@
   return id;
 }
 
+// Returns the name from which request_id() made an id.
 inline std::string short_name(const RequestId& id) {
   const std::string text(id.view());
   return text.substr(0, text.find('0'));
@@ -51,18 +53,20 @@
 // Owns an engine with the seed 7 whose clock starts at 0.
 class ScriptedGatherer {
  public:
-  explicit ScriptedGatherer(const FlatSettings& terms) : engine_(terms, 7) { engine_.advance_clock(0ms); }
+  explicit ScriptedGatherer(const FlatSettings& settings) : engine_(settings, 7) {
+    engine_.advance_clock(0ms);
+  }
 
   // Reports one entry for each letter of `servers`; servers that are not named stay as they are.
-  void report_list(const std::string& servers, ServerStatus standing = ServerStatus::up,
+  void report_list(const std::string& servers, ServerStatus status = ServerStatus::up,
                    std::optional<Duration> started = {}) {
     engine_.on_list_begin(false, false);
     for (const char server : servers) {
-      ListEntry row;
-      row.server = std::string(1, server);
-      row.status = standing;
-      row.started = started;
-      engine_.on_list_entry(row);
+      ListEntry entry;
+      entry.server = std::string(1, server);
+      entry.status = status;
+      entry.started = started;
+      engine_.on_list_entry(entry);
     }
     engine_.on_list_complete();
   }
@@ -88,18 +92,18 @@
     }
   }
 
-  void end_send(const std::string& part, SendOutcome fate, int send = 0, Duration elapsed = 100ms) {
-    engine_.on_send_ended(request_id(part), send, fate, elapsed, {});
+  void end_send(const std::string& part, SendOutcome outcome, int send = 0, Duration elapsed = 100ms) {
+    engine_.on_send_ended(request_id(part), send, outcome, elapsed, {});
   }
 
   // Reports the end of a probe; `held` is the first value of its load report.
-  void end_probe(const std::string& server, SendOutcome fate, double held = 0, Duration elapsed = 2ms) {
-    engine_.on_probe_ended(server, fate, elapsed, {{held, 0, 0, 0}, 1});
+  void end_probe(const std::string& server, SendOutcome outcome, double held = 0, Duration elapsed = 2ms) {
+    engine_.on_probe_ended(server, outcome, elapsed, {{held, 0, 0, 0}, 1});
   }
 
   // Pulls and prints all decisions. Returns the server of the last send, or an empty string.
   std::string pull_decisions() {
-    std::string to;
+    std::string server_name;
     while (const auto v = engine_.next_reply()) {
       const char* how = v->outcome == MultigetOutcome::answer
                             ? (v->complete ? "answer complete" : "answer incomplete")
@@ -112,9 +116,9 @@
       print_decision("cancel " + short_name(w->part) + " send " + std::to_string(w->send));
     }
     while (const auto s = engine_.next_send()) {
-      to = s->server;
+      server_name = s->server;
       const bool bound = s->latest_start < s->deadline;
-      print_decision("send " + short_name(s->part) + " to " + to +
+      print_decision("send " + short_name(s->part) + " to " + server_name +
                      (bound ? ", written by " + std::to_string(s->latest_start / 1ms) + " ms" : ""));
     }
     while (const auto server = engine_.next_probe()) print_decision(std::string("probe ").append(*server));
@@ -124,7 +128,7 @@
     }
     while (engine_.next_wake_delay()) {
     }
-    return to;
+    return server_name;
   }
 
   void advance_to(Duration now) {
