--- a/tests/parser_traces.cpp
+++ b/tests/parser_traces.cpp
@@ -183,7 +183,7 @@
     std::printf("%s %c %.0f '%s'", a->id.c_str(), a->end, a->score, shown(a->value).c_str());
     if (a->report.count == 0) std::printf(", no report");
     for (int i = 0; i < a->report.count; ++i)
-      std::printf(" %g", a->report.value[static_cast<std::size_t>(i)]);
+      std::printf(" %g", a->report.values[static_cast<std::size_t>(i)]);
     std::printf("\n");
   };
   sample("m.3 S 1840277719 util=0.61,qps=4,queue=2\nvalue\nof two lines");
