--- a/bench/benchmarks.cpp
+++ b/bench/benchmarks.cpp
@@ -7,7 +7,7 @@
 
 #include "addresses/book.h"
 #include "choice.h"
-#include "clients/ask.h"
+#include "clients/multiget_request.h"
 #include "net/http.h"
 #include "net/ring.h"
 #include "scenario/scenario.h"
@@ -115,11 +115,11 @@
   message.first = "POST";
   message.headers = {{"x-request-id", "9b1f03aa5c7e2d41"}, {"x-class", "look"}, {"x-deadline-ms", "480"}};
   message.body = R"({"slices":[{"slice":3,"mass":0.5},{"slice":9,"mass":0.5}],"filter":"c41e77d0"})";
-  config::Carriage carriage;
-  carriage.op_types.push_back({"look", 0, false});
-  carriage.shards = 16;
+  config::ServiceSettings settings;
+  settings.op_types.push_back({"look", 0, false});
+  settings.shards = 16;
   for (auto _ : state) {
-    auto read = clients::read_ask(message, carriage);
+    auto read = clients::parse_multiget(message, settings);
     benchmark::DoNotOptimize(read);
     if (read.index() != 0) state.SkipWithError("not read");
   }
--- a/src/carrier/carrier.cpp
+++ b/src/carrier/carrier.cpp
@@ -27,10 +27,10 @@
   std::optional<net::Loop::Timer> limit, idle;
 };
 
-Carrier::Carrier(net::Loop& loop, const config::Carriage& carriage, MakeTalk make_talk,
+Carrier::Carrier(net::Loop& loop, const config::ServiceSettings& settings, MakeTalk make_talk,
                  std::function<bool()> make_room)
     : loop_(loop),
-      carriage_(carriage),
+      settings_(settings),
       make_talk_(make_talk),
       make_room_(std::move(make_room)),
       leaving_(kLeavingHold) {}
@@ -237,7 +237,7 @@
         loop_, std::move(fd), false, kMostIn, kMostOut,
         net::Stream::Told{[this, &link] { came_up(link); }, [this, &link] { arrived(link); },
                           [this, &link] { drained(link); }, [this, &link](bool) { broke(link); }});
-    link.limit = loop_.at(loop_.now() + carriage_.connect_timeout, [this, number] {
+    link.limit = loop_.at(loop_.now() + settings_.connect_timeout, [this, number] {
       const auto at = links_.find(number);
       if (at == links_.end()) return;
       at->second->limit.reset();
@@ -369,8 +369,8 @@
         return broke(link);
       case Said::What::broken: {
         tally_.out_of_step += 1;
-        static log::Throttled throttled(log::Level::warning, "carrier.out_of_step");
-        throttled.event({{"server", link.server}, {"why", said.why}});
+        static log::RateLimitedEvent throttled(log::Level::warning, "carrier.out_of_step");
+        throttled.write({{"server", link.server}, {"why", said.why}});
         return broke(link);
       }
     }
@@ -387,7 +387,7 @@
   }
   const std::uint64_t number = link.number;
   if (link.idle) loop_.cancel(*link.idle);
-  link.idle = loop_.at(loop_.now() + carriage_.idle / 2, [this, number] {
+  link.idle = loop_.at(loop_.now() + settings_.idle_timeout / 2, [this, number] {
     const auto at = links_.find(number);
     if (at == links_.end() || at->second->job) return;
     at->second->idle.reset();
@@ -419,7 +419,7 @@
 // The one place where a part gets its fate.
 void Carrier::end(const Key& key, Fate fate, std::string value) {
   const auto at = jobs_.find(key);
-  if (!must_hold(at != jobs_.end(), "a part on a carrier has one fate")) return;
+  if (!check_invariant(at != jobs_.end(), "a part on a carrier has one fate")) return;
   if (at->second.expiry) loop_.cancel(*at->second.expiry);
   servers::Ended out;
   out.part = key.first;
@@ -458,7 +458,7 @@
   link.stream->flush();
   // A cancel that is not answered soon is no better than silence.
   const std::uint64_t number = link.number;
-  link.limit = loop_.at(loop_.now() + carriage_.connect_timeout, [this, number] {
+  link.limit = loop_.at(loop_.now() + settings_.connect_timeout, [this, number] {
     const auto still = links_.find(number);
     if (still == links_.end()) return;
     still->second->limit.reset();
--- a/src/carrier/carrier.h
+++ b/src/carrier/carrier.h
@@ -11,7 +11,7 @@
 
 #include "carrier/fates.h"
 #include "carrier/talk.h"
-#include "config/commission.h"
+#include "config/gatherer_config.h"
 #include "list/news.h"
 #include "net/loop.h"
 #include "net/socket.h"
@@ -26,7 +26,7 @@
 
 class Carrier {
  public:
-  Carrier(net::Loop& loop, const config::Carriage& carriage, MakeTalk make_talk,
+  Carrier(net::Loop& loop, const config::ServiceSettings& settings, MakeTalk make_talk,
           std::function<bool()> make_room);
   ~Carrier();
 
@@ -81,7 +81,7 @@
   void give_up(const Key& key, Fate fate);
 
   net::Loop& loop_;
-  const config::Carriage& carriage_;
+  const config::ServiceSettings& settings_;
   MakeTalk make_talk_;
   std::function<bool()> make_room_;
   std::map<std::string, std::string, std::less<>> databases_;
--- a/src/clients/clients.cpp
+++ b/src/clients/http_front.cpp
@@ -1,4 +1,4 @@
-#include "clients/clients.h"
+#include "clients/http_front.h"
 
 #include <algorithm>
 #include <cerrno>
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-struct Clients::Caller {
+struct HttpFront::Caller {
   std::uint64_t number = 0;
   std::unique_ptr<net::Stream> stream;
   net::HttpReader reader{net::HttpReader::Kind::request, kMostBody};
@@ -43,10 +43,10 @@
   std::size_t dropped = 0;
 };
 
-Clients::Clients(net::Loop& loop, const config::Carriage& carriage, const net::Address& listen,
-                 std::size_t most, net::Descriptor listening)
+HttpFront::HttpFront(net::Loop& loop, const config::ServiceSettings& settings, const net::Address& listen,
+                     std::size_t most, net::Descriptor listening)
     : loop_(loop),
-      carriage_(carriage),
+      settings_(settings),
       shared_(static_cast<bool>(listening)),
       listener_(listening ? std::move(listening) : net::listen_on(listen)),
       most_(most),
@@ -57,11 +57,11 @@
   sweep();
 }
 
-Clients::~Clients() { shut(); }
+HttpFront::~HttpFront() { shut(); }
 
-void Clients::ready(bool, bool) { accept(); }
+void HttpFront::ready(bool, bool) { accept(); }
 
-bool Clients::accept() {
+bool HttpFront::accept() {
   more_to_accept_ = false;
   // A flood of connections waits its turn like everything else.
   for (int count = 0; listener_; ++count) {
@@ -83,7 +83,7 @@
 }
 
 // Nobody is ended, and no descriptor is lent, unless somebody waits for it.
-Clients::Accepted Clients::accept_one() {
+HttpFront::Accepted HttpFront::accept_one() {
   const bool no_place = in_places() >= places();
   if ((no_place || no_descriptor()) && !net::anybody_waits(listener_.get())) return Accepted::nobody;
   bool at_door = no_place && !free_place();
@@ -101,12 +101,12 @@
 
 // The process has no descriptor left, though there may be places: servers may hold them. One that can be
 // spared makes room; else it is lent for a refusal.
-net::Descriptor Clients::accept_without_descriptors(bool& at_door) {
+net::Descriptor HttpFront::accept_without_descriptors(bool& at_door) {
   if (!net::anybody_waits(listener_.get())) {
     errno = EAGAIN;
     return {};
   }
-  if (!make_room()) {
+  if (!release_connection()) {
     at_door = true;
     if (!spare_.lend()) {
       errno = EMFILE;
@@ -116,7 +116,7 @@
   return net::accept_from(listener_.get());
 }
 
-void Clients::greet(net::Descriptor fd, bool at_door) {
+void HttpFront::greet(net::Descriptor fd, bool at_door) {
   auto made = std::make_unique<Caller>();
   Caller* const caller = made.get();
   caller->number = next_caller_++;
@@ -134,10 +134,10 @@
 }
 
 // Tried again when a connection ends, when one at the door has had its time to ask, and by sweep().
-void Clients::accept_later() {
+void HttpFront::accept_later() {
   more_to_accept_ = true;
-  static log::Throttled throttled(log::Level::warning, "client.not_accepted");
-  throttled.event(
+  static log::RateLimitedEvent throttled(log::Level::warning, "client.not_accepted");
+  throttled.write(
       {{"why", no_descriptor() ? "no place and no descriptor held back is free" : "no descriptor is left"}});
   if (std::exchange(accept_due_, true)) return;
   loop_.at(loop_.now() + kTimeToAsk, [this] {
@@ -147,20 +147,20 @@
 }
 
 // What was lent is held back again as soon as it can be; false: there is no descriptor to be had.
-bool Clients::refill() {
+bool HttpFront::refill() {
   while (spare_.held() < held_back_ && !no_descriptor()) {
     if (!spare_.take_back()) return false;
   }
   return true;
 }
 
-void Clients::set_aside(Caller& caller) {
+void HttpFront::set_aside(Caller& caller) {
   if (!std::exchange(caller.aside, true)) aside_ += 1;
 }
 
 // Whether its request can be taken: one at the door has a place if one has become free before it asked, or
 // that of a connection that says nothing, which goes to the door in its stead.
-bool Clients::has_place(Caller& caller) {
+bool HttpFront::has_place(Caller& caller) {
   if (!caller.at_door) return true;
   const bool free = in_places() < places() && refill();
   if (!free && !silent_to_door()) return false;
@@ -171,7 +171,7 @@
 }
 
 // The oldest first; each is read before, as its request may have come and not been told of.
-bool Clients::silent_to_door() {
+bool HttpFront::silent_to_door() {
   for (auto at = callers_.begin(); at != callers_.end();) {
     Caller& caller = *(at++)->second;
     if (caller.aside || activity(caller) != Activity::silent) continue;
@@ -185,7 +185,7 @@
   return false;
 }
 
-void Clients::arrived(Caller& caller) {
+void HttpFront::arrived(Caller& caller) {
   net::Ring& in = caller.stream->in();
   if (caller.parting) {
     // Beyond its bound the ring is left full and nothing more is read: 60 MB must not keep others waiting.
@@ -199,8 +199,8 @@
     in.drop(caller.reader.take(in.front()));
     if (caller.reader.state() == net::HttpReader::State::bad) {
       caller.in_hand = true;
-      static log::Throttled throttled(log::Level::info, "client.unreadable");
-      throttled.event({{"status", caller.reader.complaint()}});
+      static log::RateLimitedEvent throttled(log::Level::info, "client.unreadable");
+      throttled.write({{"status", caller.reader.complaint()}});
       say(caller, answer_text(caller.reader.complaint(), "the request cannot be read\n", false), false);
     } else if (caller.reader.state() == net::HttpReader::State::done) {
       return request(caller);  // what is behind it waits until that one is answered
@@ -208,7 +208,7 @@
   }
 }
 
-void Clients::request(Caller& caller) {
+void HttpFront::request(Caller& caller) {
   caller.in_hand = true;
   const net::HttpMessage& message = caller.reader.message();
   const bool has_a_place = has_place(caller);
@@ -221,48 +221,48 @@
   }
   if (path != "/api") return turn_away(caller.number, 404, "there is nothing here\n");
   if (message.first != "POST") return turn_away(caller.number, 405, "only POST is answered here\n");
-  auto read = read_ask(message, carriage_);
-  if (const Complaint* complaint = std::get_if<Complaint>(&read)) {
-    static log::Throttled throttled(log::Level::info, "client.bad_request");
-    throttled.event({{"status", complaint->status}, {"why", complaint->why}});
-    return turn_away(caller.number, complaint->status, complaint->why + "\n");
+  auto read = parse_multiget(message, settings_);
+  if (const RequestError* complaint = std::get_if<RequestError>(&read)) {
+    static log::RateLimitedEvent throttled(log::Level::info, "client.bad_request");
+    throttled.write({{"status", complaint->status}, {"why", complaint->reason}});
+    return turn_away(caller.number, complaint->status, complaint->reason + "\n");
   }
   if (!has_a_place) {
     tally_.refused_at_door += 1;
     return refuse_no_room(caller);
   }
-  asked.push_back({caller.number, std::move(std::get<Ask>(read)), caller.first_byte});
+  requests.push_back({caller.number, std::move(std::get<Multiget>(read)), caller.first_byte});
 }
 
-void Clients::answer(std::uint64_t number, bool whole, const std::vector<Value>& values) {
+void HttpFront::answer(std::uint64_t number, bool whole, const std::vector<Value>& values) {
   const auto at = callers_.find(number);
   if (at == callers_.end()) return;
   const bool stays = at->second->stays && !parting_;
   say(*at->second, answer_text(200, answer_body(whole, values), stays), stays);
 }
 
-void Clients::refuse(std::uint64_t number, front::Refusal why, Span come_back) {
+void HttpFront::refuse(std::uint64_t number, front::Refusal why, Span come_back) {
   switch (why) {
     case front::Refusal::pushed_back:
       return turn_away(number, 503, "pushed back\n", come_back);
-    case front::Refusal::no_room:
+    case front::Refusal::at_capacity:
       return turn_away(number, 503, "no room\n", come_back);
-    case front::Refusal::same_id:
+    case front::Refusal::duplicate_id:
       return turn_away(number, 400, "x-request-id: one of that id is in hand\n");
     case front::Refusal::failed:
       return turn_away(number, 504, "failed\n");
   }
 }
 
-void Clients::turn_away(std::uint64_t number, int status, std::string_view why, Span come_back) {
+void HttpFront::turn_away(std::uint64_t number, int status, std::string_view why, Span come_back) {
   const auto at = callers_.find(number);
   if (at == callers_.end()) return;
   const bool stays = at->second->stays && !parting_;
   say(*at->second, answer_text(status, why, stays, come_back), stays);
 }
 
-void Clients::say(Caller& caller, const std::string& text, bool stays) {
-  if (!must_hold(caller.in_hand, "an answer belongs to a request in hand")) return;
+void HttpFront::say(Caller& caller, const std::string& text, bool stays) {
+  if (!check_invariant(caller.in_hand, "an answer belongs to a request in hand")) return;
   caller.in_hand = false;
   caller.answering = true;
   caller.since = loop_.now();
@@ -273,7 +273,7 @@
   caller.stream->flush();
 }
 
-void Clients::drained(Caller& caller) {
+void HttpFront::drained(Caller& caller) {
   caller.since = loop_.now();
   if (!caller.stays) {
     caller.answering = false;
@@ -294,7 +294,7 @@
 
 // Closed with bytes unread, a connection is reset, and the answer may be lost with it. So this side ends
 // first and the client has the time that a connection may take to come up to end as well.
-void Clients::part(Caller& caller) {
+void HttpFront::part(Caller& caller) {
   caller.parting = true;
   set_aside(caller);
   caller.since = loop_.now();
@@ -307,19 +307,19 @@
 // owed its end; one that does not read its answer, or does not close after the last, has had its time. Idle
 // ones are let go when three of four places are taken, those idle longest first, so that the rest stays free
 // for who comes, and none is closed at the moment at which its next request may be under way.
-void Clients::sweep() {
+void HttpFront::sweep() {
   std::vector<Caller*> idle;
   const Span now = loop_.now();
   for (auto at = callers_.begin(); at != callers_.end();) {
     Caller& caller = *(at++)->second;
     if (caller.in_hand) continue;
     if (caller.parting) {
-      if (now >= caller.since + carriage_.connect_timeout) {
+      if (now >= caller.since + settings_.connect_timeout) {
         caller.stream->read_now();
         close(caller);
       }
     } else if (caller.answering) {
-      if (now >= caller.since + carriage_.longest_timeout) close(caller);
+      if (now >= caller.since + settings_.max_route_timeout) close(caller);
     } else if (caller.reader.begun()) {
       if (now >= caller.first_byte + kMayClose) unended(caller);
     } else if (now >= caller.since + kMayClose) {
@@ -345,17 +345,17 @@
   loop_.at(now + kSweep, [this] { sweep(); });
 }
 
-void Clients::unended(Caller& caller) {
+void HttpFront::unended(Caller& caller) {
   caller.in_hand = true;
   tally_.unended += 1;
   say(caller, answer_text(408, "the request does not end\n", false), false);
 }
 
-void Clients::close(Caller& caller) {
+void HttpFront::close(Caller& caller) {
   caller.stream->close();
   const auto at = callers_.find(caller.number);
   if (at == callers_.end()) return;
-  if (caller.in_hand) left.push_back(caller.number);
+  if (caller.in_hand) departed.push_back(caller.number);
   if (caller.aside) aside_ -= 1;
   graves_.push_back(std::move(at->second));
   callers_.erase(at);
@@ -366,7 +366,7 @@
   }
 }
 
-Activity Clients::activity(const Caller& caller) const {
+Activity HttpFront::activity(const Caller& caller) const {
   if (caller.in_hand || caller.answering) return Activity::busy;
   if (caller.parting) return Activity::closing;
   if (caller.reader.begun()) return Activity::receiving;
@@ -374,14 +374,14 @@
 }
 
 // Among these the one that can best be spared; null: none can.
-Clients::Caller* Clients::first_to_go(bool (*among)(const Caller&)) const {
+HttpFront::Caller* HttpFront::first_to_go(bool (*among)(const Caller&)) const {
   Caller* first = nullptr;
   std::optional<EvictionRank> least;
   for (const auto& [number, caller] : callers_) {
     if (!among(*caller)) continue;
     const Activity doing = activity(*caller);
     const Span since = doing == Activity::receiving ? caller->first_byte : caller->since;
-    const auto rank = eviction_rank(doing, since, loop_.now(), carriage_.connect_timeout);
+    const auto rank = eviction_rank(doing, since, loop_.now(), settings_.connect_timeout);
     if (!rank || (least && *least <= *rank)) continue;
     least = rank;
     first = caller.get();
@@ -392,7 +392,7 @@
 // Reads first what has come and was not told of yet: false, it has asked after all. Whose request may be on
 // its way is refused; between requests the client sends the next one anew, by the protocol. It is then
 // closing, or closed.
-bool Clients::dismiss(Caller& caller) {
+bool HttpFront::dismiss(Caller& caller) {
   const Activity before = activity(caller);
   caller.stream->read_now();
   if (caller.stream->closed() || caller.parting) return true;
@@ -408,7 +408,7 @@
 
 // For a connection that has come: the first to go is ended in order. Who is aside already has no place to
 // give.
-bool Clients::free_place() {
+bool HttpFront::free_place() {
   while (Caller* const first = first_to_go([](const Caller& one) { return !one.aside; })) {
     if (dismiss(*first)) return true;
   }
@@ -417,7 +417,7 @@
 
 // Ends one of these at once. All that it sent has been read and its own end has been sent, so nothing is
 // reset.
-bool Clients::free_descriptor(bool (*among)(const Caller&)) {
+bool HttpFront::free_descriptor(bool (*among)(const Caller&)) {
   while (Caller* const first = first_to_go(among)) {
     if (!dismiss(*first)) continue;
     if (!first->stream->closed()) close(*first);
@@ -426,35 +426,35 @@
   return false;
 }
 
-bool Clients::make_room() {
+bool HttpFront::release_connection() {
   return free_descriptor([](const Caller&) { return true; });
 }
 
 // Also before the request is whole: the client reads it as the answer to what it is sending. The advice,
 // where the terms allow one: requests in hand keep their places for about a latency budget.
-void Clients::refuse_no_room(Caller& caller) {
+void HttpFront::refuse_no_room(Caller& caller) {
   caller.in_hand = true;
-  const Span come_back = std::min(carriage_.longest_budget, carriage_.most_retry_after);
+  const Span come_back = std::min(settings_.max_latency_budget, settings_.max_retry_after);
   say(caller, answer_text(503, "no room\n", false, come_back), false);
 }
 
-void Clients::bury() {
+void HttpFront::destroy_closed() {
   graves_.clear();
   refill();
 }
 
-bool Clients::writing() const {
+bool HttpFront::is_writing() const {
   return std::any_of(callers_.begin(), callers_.end(), [](const auto& one) { return one.second->answering; });
 }
 
-void Clients::leave() { leaving_ = true; }
+void HttpFront::announce_stop() { leaving_ = true; }
 
-void Clients::part_with_all() { parting_ = true; }
+void HttpFront::close_after_answers() { parting_ = true; }
 
 // What the kernel has accepted is reset when its listener closes. So this one stays open for a while longer
 // than the protocol lets clients connect, and until nobody waits any more. Who waits in a queue that others
 // accept from waits for them.
-void Clients::stop_accepting() {
+void HttpFront::stop_accepting() {
   if (!listener_) return;
   if (!shared_) {
     loop_.at(loop_.now() + kLateConnects, [this] { shut_when_nobody_waits(); });
@@ -465,14 +465,14 @@
   shut();
 }
 
-void Clients::shut_when_nobody_waits() {
+void HttpFront::shut_when_nobody_waits() {
   while (accept()) {
   }
   if (!listener_ || !net::anybody_waits(listener_.get())) return shut();
   loop_.at(loop_.now() + kTimeToAsk, [this] { shut_when_nobody_waits(); });
 }
 
-void Clients::shut() {
+void HttpFront::shut() {
   if (!listener_) return;
   loop_.forget(listener_.get(), place_);
   listener_.close();
@@ -482,7 +482,7 @@
 // each is ended in order, and what still comes is dropped, for the client to send anew elsewhere. Who has
 // only just come is about to ask for the first time; half a request from before then would keep a planned
 // stop from its end.
-void Clients::close_idle(Span since) {
+void HttpFront::close_idle(Span since) {
   for (auto at = callers_.begin(); at != callers_.end();) {
     Caller& caller = *(at++)->second;
     if (caller.in_hand || caller.answering || caller.parting) continue;
--- a/src/clients/clients.h
+++ b/src/clients/http_front.h
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
-#include "clients/ask.h"
 #include "clients/eviction.h"
+#include "clients/multiget_request.h"
 #include "net/http.h"
 #include "net/loop.h"
 #include "net/socket.h"
@@ -20,35 +20,35 @@
 
 namespace marbledyke::clients {
 
-using front::Asked;
+using front::Request;
 
 // Descriptors held back for connections that find no place; a quarter of what there is where that is less.
 // One is needed for a round trip at a time, so a few refuse any number.
 inline constexpr std::size_t kHeldBack = 8;
 
-class Clients final : public front::Front, public net::Watcher {
+class HttpFront final : public front::Front, public net::Watcher {
  public:
   // Throws std::system_error where the address cannot be listened on. `most` descriptors are for connections,
   // those held back for refusals among them. A socket that listens already, and that others accept from as
   // well, may be given instead of being opened.
-  Clients(net::Loop& loop, const config::Carriage& carriage, const net::Address& listen, std::size_t most,
-          net::Descriptor listening = {});
-  ~Clients() override;
+  HttpFront(net::Loop& loop, const config::ServiceSettings& settings, const net::Address& listen,
+            std::size_t most, net::Descriptor listening = {});
+  ~HttpFront() override;
 
   void answer(std::uint64_t caller, bool whole, const std::vector<Value>& values) override;
   void refuse(std::uint64_t caller, front::Refusal why, Span come_back) override;
 
-  void leave() override;
-  void part_with_all() override;
+  void announce_stop() override;
+  void close_after_answers() override;
   void stop_accepting() override;
   void close_idle(Span since) override;
-  bool make_room() override;
+  bool release_connection() override;
   bool empty() const override { return callers_.empty() && !listener_; }  // and nobody can come
-  bool writing() const override;
+  bool is_writing() const override;
   std::size_t size() const override { return callers_.size(); }
 
   void ready(bool readable, bool writable) override;
-  void bury() override;
+  void destroy_closed() override;
 
   struct Tally {
     std::uint64_t accepted = 0, let_go = 0, evicted = 0, silent = 0, unended = 0, refused_at_door = 0;
@@ -92,7 +92,7 @@
   void shut();
 
   net::Loop& loop_;
-  const config::Carriage& carriage_;
+  const config::ServiceSettings& settings_;
   const bool shared_;  // others accept from the same socket
   net::Descriptor listener_;
   std::uint32_t place_ = 0;
--- a/src/clients/ask.cpp
+++ b/src/clients/multiget_request.cpp
@@ -1,4 +1,4 @@
-#include "clients/ask.h"
+#include "clients/multiget_request.h"
 
 #include <algorithm>
 #include <charconv>
@@ -18,7 +18,7 @@
 constexpr double kRounding = 0.001;                   // of masses as they are written
 
 struct Wrong {
-  Complaint complaint;
+  RequestError complaint;
 };
 
 [[noreturn]] void refuse(std::string why, int status = 400) { throw Wrong{{status, std::move(why)}}; }
@@ -45,16 +45,16 @@
   return *value;
 }
 
-Piece piece(const json& from, const config::Carriage& carriage) {
-  Piece out;
-  const std::int64_t shard = config::whole(from, "slice");
-  if (shard < 0 || shard >= carriage.shards) throw BadInput("slice: there is no such shard");
+Part piece(const json& from, const config::ServiceSettings& settings) {
+  Part out;
+  const std::int64_t shard = config::integer(from, "slice");
+  if (shard < 0 || shard >= settings.shards) throw BadInput("slice: there is no such shard");
   out.shard = static_cast<int>(shard);
-  out.mass = config::number(config::need(from, "mass"), "mass");
-  if (out.mass <= 0 || out.mass > 1 + kRounding) throw BadInput("mass: not a share");
-  const std::int64_t micros = config::whole_or(from, "micros", 0);
+  out.weight = config::number(config::required(from, "mass"), "mass");
+  if (out.weight <= 0 || out.weight > 1 + kRounding) throw BadInput("mass: not a share");
+  const std::int64_t micros = config::integer_or(from, "micros", 0);
   if (micros < 0 || micros > 3'600'000'000) throw BadInput("micros: out of range");
-  out.hint = Span(micros);
+  out.work_estimate = Span(micros);
   if (from.contains("term")) {
     const auto key = number<std::uint64_t>(config::text(from, "term"), 16);
     if (!key) throw BadInput("term: not hex digits");
@@ -63,33 +63,33 @@
   return out;
 }
 
-Ask read(const net::HttpMessage& from, const config::Carriage& carriage) {
-  Ask out;
+Multiget read(const net::HttpMessage& from, const config::ServiceSettings& settings) {
+  Multiget out;
   out.id = header(from, "x-request-id");
   if (!safe_id(out.id)) refuse("x-request-id: empty, too long, or with characters it may not have");
   const std::string& type = header(from, "x-class");
-  const auto known = std::find_if(carriage.op_types.begin(), carriage.op_types.end(),
-                                  [&](const config::OpName& one) { return one.name == type; });
-  if (known == carriage.op_types.end()) refuse("x-class: unknown");
-  out.op_type = static_cast<int>(known - carriage.op_types.begin());
+  const auto known = std::find_if(settings.op_types.begin(), settings.op_types.end(),
+                                  [&](const config::OpTypeSettings& one) { return one.name == type; });
+  if (known == settings.op_types.end()) refuse("x-class: unknown");
+  out.op_type = static_cast<int>(known - settings.op_types.begin());
   // A customer that the terms do not name has no share of its own, and so none to go beyond.
   if (const std::string* name = from.header("x-tenant"); name != nullptr) {
-    const auto at = std::find(carriage.customers.begin(), carriage.customers.end(), *name);
-    if (at != carriage.customers.end()) out.customer = static_cast<int>(at - carriage.customers.begin());
+    const auto at = std::find(settings.customers.begin(), settings.customers.end(), *name);
+    if (at != settings.customers.end()) out.customer = static_cast<int>(at - settings.customers.begin());
   }
   const auto patience = number<std::int64_t>(header(from, "x-deadline-ms"), 10);
   if (!patience || *patience <= 0 || *patience > kLongestPatience)
     refuse("x-deadline-ms: not whole milliseconds above 0");
-  out.patience = std::chrono::milliseconds(*patience);
-  if (const std::string* mark = from.header("x-retry"); mark != nullptr) out.repeated = *mark == "1";
+  out.client_timeout = std::chrono::milliseconds(*patience);
+  if (const std::string* mark = from.header("x-retry"); mark != nullptr) out.is_client_retry = *mark == "1";
   const json body = config::parse(from.body);
-  for (const json& one : config::array(body, "slices")) out.pieces.push_back(piece(one, carriage));
-  if (out.pieces.empty()) refuse("slices: empty");
+  for (const json& one : config::array(body, "slices")) out.parts.push_back(piece(one, settings));
+  if (out.parts.empty()) refuse("slices: empty");
   std::vector<int> shards;
   double masses = 0;
-  for (const Piece& one : out.pieces) {
+  for (const Part& one : out.parts) {
     shards.push_back(one.shard);
-    masses += one.mass;
+    masses += one.weight;
   }
   // An answer would be called whole, or never become so, by shares that are not shares of one whole.
   if (std::abs(masses - 1) > kRounding) refuse("mass: the parts' do not add up to 1");
@@ -119,13 +119,14 @@
 
 }  // namespace
 
-std::variant<Ask, Complaint> read_ask(const net::HttpMessage& from, const config::Carriage& carriage) {
+std::variant<Multiget, RequestError> parse_multiget(const net::HttpMessage& from,
+                                                    const config::ServiceSettings& settings) {
   try {
-    return read(from, carriage);
+    return read(from, settings);
   } catch (const Wrong& wrong) {
     return wrong.complaint;
   } catch (const BadInput& wrong) {
-    return Complaint{400, wrong.what()};
+    return RequestError{400, wrong.what()};
   }
 }
 
--- a/src/clients/ask.h
+++ b/src/clients/multiget_request.h
@@ -6,23 +6,24 @@
 #include <variant>
 #include <vector>
 
-#include "config/commission.h"
+#include "config/gatherer_config.h"
 #include "front/front.h"
 #include "model/plain.h"
 #include "net/http.h"
 
 namespace marbledyke::clients {
 
-using front::Ask;
-using front::Piece;
+using front::Multiget;
+using front::Part;
 using front::Value;
 
-struct Complaint {
+struct RequestError {
   int status = 400;
-  std::string why;
+  std::string reason;
 };
 
-std::variant<Ask, Complaint> read_ask(const net::HttpMessage& from, const config::Carriage& carriage);
+std::variant<Multiget, RequestError> parse_multiget(const net::HttpMessage& from,
+                                                    const config::ServiceSettings& settings);
 
 std::string answer_body(bool whole, const std::vector<Value>& values);
 
--- a/src/command/check.cpp
+++ b/src/command/check.cpp
@@ -5,7 +5,7 @@
 #include <iterator>
 
 #include "choice.h"
-#include "config/commission.h"
+#include "config/gatherer_config.h"
 #include "list/news.h"
 #include "operator_file/helper.h"
 
@@ -23,9 +23,10 @@
   std::ifstream file(path);
   const std::string text((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
   try {
-    const config::Commission commission = config::read_commission(text);
-    Choice(commission.terms, commission.seed);
-    if (commission.known.is_object()) list::read_news(commission.known, commission.carriage, {});
+    const config::GathererConfig gatherer_config = config::parse_gatherer_config(text);
+    Choice(gatherer_config.terms, gatherer_config.seed);
+    if (gatherer_config.known_list.is_object())
+      list::read_news(gatherer_config.known_list, gatherer_config.settings, {});
     std::cout << path << ": good" << std::endl;
     return true;
   } catch (const std::exception& wrong) {
--- a/src/command/search_main.cpp
+++ b/src/command/search_main.cpp
@@ -12,19 +12,21 @@
 
 using namespace marbledyke;
 
-void extend(gatherer::Gatherer& gatherer, const search::Terms& terms, const config::Commission& commission) {
+void extend(gatherer::Gatherer& gatherer, const search::Terms& terms,
+            const config::GathererConfig& gatherer_config) {
   // Half of the descriptors are for the fronts together; what they hold idle they give up when it is needed.
-  const std::size_t most = std::max<std::size_t>(
-      static_cast<std::size_t>(commission.sockets) / 2 / std::max<std::size_t>(terms.listeners.size(), 1), 8);
-  std::uint32_t seed = commission.seed;
+  const std::size_t most = std::max<std::size_t>(static_cast<std::size_t>(gatherer_config.max_sockets) / 2 /
+                                                     std::max<std::size_t>(terms.listeners.size(), 1),
+                                                 8);
+  std::uint32_t seed = gatherer_config.seed;
   for (const search::Listener& one : terms.listeners) {
     ++seed;
     if (one.protocol == search::Protocol::sru) {
-      gatherer.add(
-          std::make_unique<sru::Front>(gatherer.loop(), terms, commission.carriage, one.address, seed, most));
+      gatherer.add(std::make_unique<sru::Front>(gatherer.loop(), terms, gatherer_config.settings, one.address,
+                                                seed, most));
     } else {
-      gatherer.add(std::make_unique<z3950::Front>(gatherer.loop(), terms, commission.carriage, one.address,
-                                                  seed, most));
+      gatherer.add(std::make_unique<z3950::Front>(gatherer.loop(), terms, gatherer_config.settings,
+                                                  one.address, seed, most));
     }
   }
   for (const search::Protocol protocol : {search::Protocol::sru, search::Protocol::z3950}) {
@@ -34,9 +36,9 @@
     }
     if (databases.empty()) continue;
     auto carrier = std::make_unique<carrier::Carrier>(
-        gatherer.loop(), commission.carriage,
+        gatherer.loop(), gatherer_config.settings,
         protocol == search::Protocol::sru ? sru::make_talk : z3950::make_talk,
-        [&gatherer] { return gatherer.make_room(); });
+        [&gatherer] { return gatherer.release_connection(); });
     carrier->serve(std::move(databases));
     gatherer.add(std::move(carrier));
   }
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -65,8 +65,8 @@
 }
 
 // The configuration and the fleet's settings. What the module refuses of the latter is named with their file.
-config::Commission read_configuration() {
-  config::Commission out = config::read_commission_file();
+config::GathererConfig read_configuration() {
+  config::GathererConfig out = config::load_gatherer_config();
   if (out.settings_file.empty()) return out;
   try {
     Choice(out.terms, out.seed);
@@ -79,22 +79,22 @@
 class Server {
  public:
   Server(const ServeOptions& options, const TimeSource& clock)
-      : options_(options), commission_(read_configuration()) {
+      : options_(options), gatherer_config_(read_configuration()) {
     std::optional<operator_file::Terms> terms;
     if (!options.operator_file.empty()) {
       operator_file::Result result = operator_file::read_now(options.operator_file);
-      for (const operator_file::Fault& fault : result.faults)
-        std::cerr << "marbledyke: " << text_of(options.operator_file, fault) << '\n';
+      for (const operator_file::FileError& fault : result.faults)
+        std::cerr << "marbledyke: " << format_error(options.operator_file, fault) << '\n';
       if (!result.terms) throw config::BadInput(options.operator_file + ": not taken");
       terms = std::move(result.terms);
     }
     open_log(terms ? &*terms : nullptr);
-    gatherer_ =
-        std::make_unique<gatherer::Gatherer>(commission_, inherited_listener(commission_.listen), clock);
+    gatherer_ = std::make_unique<gatherer::Gatherer>(gatherer_config_,
+                                                     inherited_listener(gatherer_config_.listen), clock);
     if (const char* path = std::getenv("MARBLEDYKE_EVENTS"); path != nullptr && *path != '\0') {
       pipe_ = std::make_unique<events::Pipe>(gatherer_->loop(), path);
-      log::tap([this](const std::string& line) { pipe_->line(line); });
-      gatherer_->record([this](const std::string& line) { pipe_->line(line); });
+      log::set_listener([this](const std::string& line) { pipe_->write_line(line); });
+      gatherer_->record_windows([this](const std::string& line) { pipe_->write_line(line); });
     }
     if (!terms) return;
     search_ = operator_file::text_of(terms->search);
@@ -104,12 +104,12 @@
             options.operator_file +
             ": search: this program speaks the platform's protocols only; marbledyke-search "
             "speaks the others");
-      options.extend(*gatherer_, terms->search, commission_);
+      options.extend(*gatherer_, terms->search, gatherer_config_);
     }
-    gatherer_->operate(*terms);
+    gatherer_->apply_operator_terms(*terms);
   }
 
-  ~Server() { log::tap(nullptr); }
+  ~Server() { log::set_listener(nullptr); }
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
@@ -118,18 +118,19 @@
       if (which == SIGHUP) {
         read_again();
       } else {
-        gatherer_->leave();
+        gatherer_->begin_stop();
       }
     });
     report();
-    if (commission_.settings_index) {
-      log::event(log::Level::info, "gatherer.serving", {{"settings_index", *commission_.settings_index}});
+    if (gatherer_config_.settings_index) {
+      log::event(log::Level::info, "gatherer.serving",
+                 {{"settings_index", *gatherer_config_.settings_index}});
     } else {
       log::event(log::Level::info, "gatherer.serving");
     }
-    while (gatherer_->turn()) {
+    while (gatherer_->run_once()) {
     }
-    gatherer_->report();
+    gatherer_->log_totals();
     log::event(log::Level::info, "gatherer.stopped");
     return EXIT_SUCCESS;
   }
@@ -137,19 +138,20 @@
  private:
   void report() {
     gatherer_->loop().at(gatherer_->loop().now() + 10s, [this] {
-      gatherer_->report();
+      gatherer_->log_totals();
       report();
     });
   }
 
   // MARBLEDYKE_LOG and --log are said for this start and hold over the file.
   void open_log(const operator_file::Terms* terms) {
-    log::Level level = commission_.log_level;
+    log::Level level = gatherer_config_.log_level;
     const char* stated = std::getenv("MARBLEDYKE_LOG");
     if ((stated == nullptr || *stated == '\0') && terms != nullptr) level = terms->log_level.value_or(level);
-    log::Form form = terms != nullptr ? terms->log_form.value_or(log::Form::plain) : log::Form::plain;
-    if (!options_.log_form.empty()) form = options_.log_form == "json" ? log::Form::json : log::Form::plain;
-    log::open(level, form, commission_.name);
+    log::Format form = terms != nullptr ? terms->log_form.value_or(log::Format::plain) : log::Format::plain;
+    if (!options_.log_form.empty())
+      form = options_.log_form == "json" ? log::Format::json : log::Format::plain;
+    log::configure(level, form, gatherer_config_.name);
   }
 
   static void refuse(std::string_view why) {
@@ -169,8 +171,8 @@
             reading_.reset();
             if (std::exchange(again_, false)) read_again();
           });
-          for (const operator_file::Fault& fault : result.faults)
-            refuse(text_of(options_.operator_file, fault));
+          for (const operator_file::FileError& fault : result.faults)
+            refuse(format_error(options_.operator_file, fault));
           if (result.terms) take(&*result.terms);
         });
   }
@@ -178,7 +180,7 @@
   void take(const operator_file::Terms* terms) {
     try {
       spare_.in_use(1);
-      const config::Commission fresh = read_configuration();
+      const config::GathererConfig fresh = read_configuration();
       spare_.in_use(0);
       gatherer_->reload(fresh);
     } catch (const std::exception& wrong) {
@@ -187,7 +189,7 @@
     }
     if (terms == nullptr) return;
     open_log(terms);
-    gatherer_->operate(*terms);
+    gatherer_->apply_operator_terms(*terms);
     // Open sessions and their sets hang on these.
     if (operator_file::text_of(terms->search) != search_)
       log::event(log::Level::warning, "configuration.waits_for_start", {{"key", "search"}});
@@ -196,7 +198,7 @@
   }
 
   const ServeOptions& options_;
-  config::Commission commission_;
+  config::GathererConfig gatherer_config_;
   std::unique_ptr<gatherer::Gatherer> gatherer_;
   std::unique_ptr<events::Pipe> pipe_;  // to the keeper that started this process
   std::unique_ptr<operator_file::Reading> reading_;
--- a/src/command/serve.h
+++ b/src/command/serve.h
@@ -4,7 +4,7 @@
 #include <functional>
 #include <string>
 
-#include "config/commission.h"
+#include "config/gatherer_config.h"
 #include "gatherer/gatherer.h"
 #include "search/terms.h"
 
@@ -13,7 +13,7 @@
 // Adds the fronts and carriers that an operator's file asks for beside the platform's. Throws where it
 // cannot.
 using Extend = std::function<void(gatherer::Gatherer& gatherer, const search::Terms& terms,
-                                  const config::Commission& commission)>;
+                                  const config::GathererConfig& gatherer_config)>;
 
 struct ServeOptions {
   std::string operator_file;  // empty: none
--- a/src/config/fields.cpp
+++ b/src/config/fields.cpp
@@ -10,7 +10,7 @@
   return out;
 }
 
-const json& need(const json& from, const char* field) {
+const json& required(const json& from, const char* field) {
   if (!from.is_object()) throw BadInput(std::string(field) + ": its holder is not an object");
   const auto at = from.find(field);
   if (at == from.end() || at->is_null()) throw BadInput(std::string(field) + ": missing");
@@ -28,30 +28,30 @@
   return from.contains(field) && !from[field].is_null() ? number(from[field], field) : otherwise;
 }
 
-std::int64_t whole(const json& from, const char* field) {
-  const json& value = need(from, field);
+std::int64_t integer(const json& from, const char* field) {
+  const json& value = required(from, field);
   if (!value.is_number_integer()) throw BadInput(std::string(field) + ": not a whole number");
   return value.get<std::int64_t>();
 }
 
-std::int64_t whole_or(const json& from, const char* field, std::int64_t otherwise) {
-  return from.contains(field) && !from[field].is_null() ? whole(from, field) : otherwise;
+std::int64_t integer_or(const json& from, const char* field, std::int64_t otherwise) {
+  return from.contains(field) && !from[field].is_null() ? integer(from, field) : otherwise;
 }
 
 const std::string& text(const json& from, const char* field) {
-  const json& value = need(from, field);
+  const json& value = required(from, field);
   if (!value.is_string()) throw BadInput(std::string(field) + ": not a string");
   return value.get_ref<const std::string&>();
 }
 
 const json& array(const json& from, const char* field) {
-  const json& value = need(from, field);
+  const json& value = required(from, field);
   if (!value.is_array()) throw BadInput(std::string(field) + ": not an array");
   return value;
 }
 
 const json& object(const json& from, const char* field) {
-  const json& value = need(from, field);
+  const json& value = required(from, field);
   if (!value.is_object()) throw BadInput(std::string(field) + ": not an object");
   return value;
 }
--- a/src/config/fields.h
+++ b/src/config/fields.h
@@ -21,11 +21,11 @@
 // Throws BadInput with the complaint where the text is not JSON.
 json parse(std::string_view text);
 
-const json& need(const json& from, const char* field);
+const json& required(const json& from, const char* field);
 double number(const json& value, const char* field);
 double number_or(const json& from, const char* field, double otherwise);
-std::int64_t whole(const json& from, const char* field);
-std::int64_t whole_or(const json& from, const char* field, std::int64_t otherwise);
+std::int64_t integer(const json& from, const char* field);
+std::int64_t integer_or(const json& from, const char* field, std::int64_t otherwise);
 const std::string& text(const json& from, const char* field);
 const json& array(const json& from, const char* field);
 const json& object(const json& from, const char* field);
--- a/src/config/fault.h
+++ b/src/config/file_error.h
@@ -5,14 +5,14 @@
 
 namespace marbledyke::config {
 
-struct Fault {
+struct FileError {
   int line = 0;  // 0: the file as a whole
   std::string element;
   std::string reason;
 };
 
 // FILE:LINE: ELEMENT: REASON
-inline std::string text_of(const std::string& file, const Fault& fault) {
+inline std::string format_error(const std::string& file, const FileError& fault) {
   std::string out = file;
   if (fault.line > 0) out += ':' + std::to_string(fault.line);
   if (!fault.element.empty()) out += ": " + fault.element;
--- a/src/config/fleet_settings.cpp
+++ b/src/config/fleet_settings.cpp
@@ -15,7 +15,7 @@
 constexpr const char* kOfOneMachine[] = {"zone"};
 
 json document_of(const json& from) {
-  const json& stated = need(from, "settings");
+  const json& stated = required(from, "settings");
   json document = stated.is_string() ? parse(stated.get_ref<const std::string&>()) : stated;
   if (!document.is_object()) throw BadInput("settings: not an object");
   return document;
@@ -29,7 +29,7 @@
     if (!from.is_object()) throw BadInput("not an object");
     text(from, "fleet");
     text(from, "digest");
-    FleetSettings out{file, whole(from, "index"), document_of(from)};
+    FleetSettings out{file, integer(from, "index"), document_of(from)};
     if (out.index < 1) throw BadInput("index: is not positive");
     return out;
   } catch (const BadInput& wrong) {
@@ -53,7 +53,7 @@
   return read_fleet_settings(path, text.str());
 }
 
-nlohmann::json settings_under(const FleetSettings& fleet, const nlohmann::json& own) {
+nlohmann::json effective_settings(const FleetSettings& fleet, const nlohmann::json& own) {
   if (fleet.index == 0) return own;
   json out = fleet.document;
   for (const char* const name : kOfOneMachine) {
--- a/src/config/fleet_settings.h
+++ b/src/config/fleet_settings.h
@@ -24,6 +24,6 @@
 
 // What the gatherer runs with: the fleet's document. What is said of one machine only (`zone`) stays the
 // configuration's own where the document leaves it out.
-nlohmann::json settings_under(const FleetSettings& fleet, const nlohmann::json& own);
+nlohmann::json effective_settings(const FleetSettings& fleet, const nlohmann::json& own);
 
 }  // namespace marbledyke::config
--- a/src/config/commission.cpp
+++ b/src/config/gatherer_config.cpp
@@ -1,4 +1,4 @@
-#include "config/commission.h"
+#include "config/gatherer_config.h"
 
 #include <algorithm>
 #include <cstdlib>
@@ -63,9 +63,9 @@
   Contract contract_;
 };
 
-Carriage read_carriage(const Terms& terms) {
+ServiceSettings parse_service_settings(const Terms& terms) {
   const Reader read(terms);
-  Carriage out;
+  ServiceSettings out;
   for (int i = 0;; ++i) {
     const std::string at = "categories." + std::to_string(i) + ".";
     if (!read.has(at + "name") && !read.has(at + "deadline")) break;
@@ -79,13 +79,13 @@
                             {},
                             read.has(at + "worth") ? read.number(at + "worth", 0, 1e300) : 1.0});
     const std::string need = "specifics.complete-from." + std::to_string(i);
-    if (out.op_types.back().floor > (read.has(need) ? read.number(need, 0, 1) : 1.0))
+    if (out.op_types.back().min_answer_share > (read.has(need) ? read.number(need, 0, 1) : 1.0))
       Contract::refuse("specifics.class-floor." + std::to_string(i), "is above what a whole answer needs");
     const Span timeout = read.time(at + "deadline");
-    out.longest_timeout = std::max(out.longest_timeout, timeout);
+    out.max_route_timeout = std::max(out.max_route_timeout, timeout);
     const Span budget = read.has(at + "objective") ? read.time(at + "objective") : timeout;
-    out.op_types.back().budget = std::min(budget, timeout);
-    out.longest_budget = std::max(out.longest_budget, out.op_types.back().budget);
+    out.op_types.back().latency_budget = std::min(budget, timeout);
+    out.max_latency_budget = std::max(out.max_latency_budget, out.op_types.back().latency_budget);
   }
   if (out.op_types.empty()) Contract::refuse("categories", "missing");
   out.customers = read.words("customers", ".name");
@@ -94,16 +94,16 @@
   if (out.report_fields.size() > LoadReport{}.value.size()) Contract::refuse("telemetry.fields", "too many");
   out.shards = read.count("specifics.slabs");
   out.cells = read.count("specifics.sets");
-  out.parts_a_call = read.count("specifics.bundle-max", 1, 1024);
-  out.parts_a_connection = read.count("limits.streams-per-conn");
-  out.most_in_hand = read.count("limits.max-open");
+  out.max_parts_per_call = read.count("specifics.bundle-max", 1, 1024);
+  out.max_parts_per_connection = read.count("limits.streams-per-conn");
+  out.max_pending = read.count("limits.max-open");
   out.tick = read.has("tick") ? read.time("tick") : Span(5ms);
   out.connect_timeout = read.time("limits.connect-timeout");
-  out.idle = read.time("limits.conn-idle");
+  out.idle_timeout = read.time("limits.conn-idle");
   if (read.flag("limits.retry-after") && read.has("limits.max-retry-after"))
-    out.most_retry_after = read.time("limits.max-retry-after");
-  out.list_is_asked = read.has("registry-mode") && read.word("registry-mode") == "ask";
-  out.ask_every = read.has("contract.ask-every") ? read.time("contract.ask-every") : Span(20s);
+    out.max_retry_after = read.time("limits.max-retry-after");
+  out.list_polled = read.has("registry-mode") && read.word("registry-mode") == "ask";
+  out.list_poll_interval = read.has("contract.ask-every") ? read.time("contract.ask-every") : Span(20s);
   return out;
 }
 
@@ -119,10 +119,11 @@
 
 }  // namespace
 
-Commission read_commission(const std::string& text_of_it, const std::optional<FleetSettings>& fleet) {
+GathererConfig parse_gatherer_config(const std::string& text_of_it,
+                                     const std::optional<FleetSettings>& fleet) {
   const json from = parse(text_of_it);
   if (!from.is_object()) throw BadInput("the configuration is not an object");
-  Commission out;
+  GathererConfig out;
   out.name = told(from, "name", "PROXY_NAME");
   out.listen = address(told(from, "listen", "PROXY_LISTEN"), "listen");
   out.discovery_host = told(from, "discovery", "PROXY_DISCOVERY");
@@ -133,16 +134,16 @@
     throw BadInput("seed: not up to 16 hex digits");
   const std::uint64_t mixed = std::stoull(seed, nullptr, 16);
   out.seed = static_cast<std::uint32_t>(mixed ^ (mixed >> 32));
-  const std::int64_t sockets = whole(object(from, "limits"), "sockets");
+  const std::int64_t sockets = integer(object(from, "limits"), "sockets");
   if (sockets < 32 || sockets > 1'000'000) throw BadInput("limits.sockets: out of range");
-  out.sockets = static_cast<int>(sockets);
-  if (from.contains("known")) out.known = object(from, "known");
+  out.max_sockets = static_cast<int>(sockets);
+  if (from.contains("known")) out.known_list = object(from, "known");
   if (fleet) out.settings_index = fleet->index;
   if (fleet && fleet->index != 0) out.settings_file = fleet->file;
   const json own = out.settings_file.empty() ? object(from, "settings") : from.value("settings", json());
-  flatten(fleet ? settings_under(*fleet, own) : own, "", out.terms);
+  flatten(fleet ? effective_settings(*fleet, own) : own, "", out.terms);
   try {
-    out.carriage = read_carriage(out.terms);
+    out.settings = parse_service_settings(out.terms);
   } catch (const std::invalid_argument& wrong) {
     const std::string where = out.settings_file.empty() ? "" : out.settings_file + ": ";
     throw BadInput(where + "settings." + wrong.what());
@@ -152,13 +153,13 @@
   return out;
 }
 
-Commission read_commission_file() {
+GathererConfig load_gatherer_config() {
   const char* path = std::getenv("PROXY_CONFIG");
   if (path == nullptr || *path == '\0') throw BadInput("PROXY_CONFIG: missing");
   std::ifstream file(path);
   std::stringstream text;
   if (!file || !(text << file.rdbuf())) throw BadInput("PROXY_CONFIG: the file cannot be read");
-  return read_commission(text.str(), read_fleet_settings());
+  return parse_gatherer_config(text.str(), read_fleet_settings());
 }
 
 }  // namespace marbledyke::config
--- a/src/config/commission.h
+++ b/src/config/gatherer_config.h
@@ -16,47 +16,47 @@
 namespace marbledyke::config {
 
 // An op type as far as the program itself needs it; what it is worth is the module's matter.
-struct OpName {
+struct OpTypeSettings {
   std::string name;
-  int second_step = 0;  // parts that a first answer is followed by
-  bool once = false;    // what may have run is never sent again
-  double floor = 1;     // least share of parts for any answer
-  Span budget{};        // latency budget
+  int second_step_parts = 0;    // parts that a first answer is followed by
+  bool non_retriable = false;   // what may have run is never sent again
+  double min_answer_share = 1;  // least share of parts for any answer
+  Span latency_budget{};        // latency budget
   double importance = 1;
 };
 
 // What carrying parts and answers takes: figures of the operators' terms, none of our own.
-struct Carriage {
-  std::vector<OpName> op_types;
+struct ServiceSettings {
+  std::vector<OpTypeSettings> op_types;
   std::vector<std::string> customers;
   std::vector<std::string> zones;
   std::vector<std::string> report_fields;  // the values of a load report, in the module's order
   int shards = 1;
   int cells = 1;
-  int parts_a_call = 1;
-  int parts_a_connection = 1;
-  int most_in_hand = 1;    // multigets and parts
-  Span longest_timeout{};  // of the op types' route timeouts
-  Span longest_budget{};   // and of their latency budgets
-  Span tick{};             // what happened less than this apart may be seen in another order
+  int max_parts_per_call = 1;
+  int max_parts_per_connection = 1;
+  int max_pending = 1;        // multigets and parts
+  Span max_route_timeout{};   // of the op types' route timeouts
+  Span max_latency_budget{};  // and of their latency budgets
+  Span tick{};                // what happened less than this apart may be seen in another order
   Span connect_timeout{};
-  Span idle{};
-  Span most_retry_after{};     // the longest advice a refusal may carry; zero: it carries none
-  Span ask_every{};            // how long the list may go unasked
-  bool list_is_asked = false;  // the module decides when; else it is watched from the start
+  Span idle_timeout{};
+  Span max_retry_after{};     // the longest advice a refusal may carry; zero: it carries none
+  Span list_poll_interval{};  // how long the list may go unasked
+  bool list_polled = false;   // the module decides when; else it is watched from the start
 };
 
-struct Commission {
+struct GathererConfig {
   std::string name;
   net::Address listen;
   net::Address discovery;
   std::string discovery_host;
   std::uint32_t seed = 0;
-  int sockets = 0;
+  int max_sockets = 0;
   log::Level log_level = log::Level::info;
-  json known;  // the list as last held, in discovery's form; null: none
+  json known_list;  // the list as last held, in discovery's form; null: none
   Terms terms;
-  Carriage carriage;
+  ServiceSettings settings;
   std::uint64_t digest = 0;  // of the text it was read from
   // The revision of the fleet's settings that `terms` are from; 0: the configuration's own. None: this
   // process was not told to heed any.
@@ -66,8 +66,8 @@
 };
 
 // From the text of the configuration, and the fleet's settings over it where there are any; throws BadInput.
-Commission read_commission(const std::string& text, const std::optional<FleetSettings>& fleet = {});
+GathererConfig parse_gatherer_config(const std::string& text, const std::optional<FleetSettings>& fleet = {});
 // From the files that the environment names.
-Commission read_commission_file();
+GathererConfig load_gatherer_config();
 
 }  // namespace marbledyke::config
--- a/src/distribution/acceptor_json.cpp
+++ b/src/distribution/acceptor_json.cpp
@@ -30,7 +30,7 @@
   const json& body = config::object(from, field);
   try {
     Ballot out;
-    out.round = config::whole(body, "round");
+    out.round = config::integer(body, "round");
     out.proposer = config::text(body, "proposer");
     if (out.round < 0 || out.round > kHighestRound) throw BadInput("round: out of range");
     if (out.proposer.size() > kLongestName) throw BadInput("proposer: too long");
@@ -58,7 +58,7 @@
 }
 
 Revision read_revision_in(const json& from, const char* field) {
-  const json& body = config::need(from, field);
+  const json& body = config::required(from, field);
   try {
     return read_revision(body);
   } catch (const BadInput& fault) {
@@ -110,7 +110,7 @@
   if (end == std::string::npos || text.back() != '\n' || end + 1 >= text.size())
     throw BadInput("acceptor's state: is torn");
   const json head = config::parse(std::string_view(text).substr(0, end));
-  if (const std::int64_t format = config::whole(head, "format"); format != kFormat)
+  if (const std::int64_t format = config::integer(head, "format"); format != kFormat)
     throw BadInput("acceptor's state: format " + std::to_string(format) + " is not this program's");
   const std::string body_text = text.substr(end + 1, text.size() - end - 2);
   if (config::text(head, "checksum") != checksum(body_text)) throw BadInput("acceptor's state: is damaged");
--- a/src/distribution/node.cpp
+++ b/src/distribution/node.cpp
@@ -96,7 +96,7 @@
   bool answering = false;
   std::int64_t text_index = 0;  // of text
   std::string text;             // the revision that was given last, as it is written to all
-  log::Throttled bad_request{log::Level::warning, "control.bad_request"};
+  log::RateLimitedEvent bad_request{log::Level::warning, "control.bad_request"};
 };
 
 Node::Inside::Inside(net::Loop& its_loop, disk::Disk& disk, const NodeOptions& its_options)
@@ -139,7 +139,7 @@
   try {
     reply = routed(caller, request);
   } catch (const config::BadInput& wrong) {
-    bad_request.event({{"path", path_of(request.target).substr(0, kMostName)}, {"why", wrong.what()}});
+    bad_request.write({{"path", path_of(request.target).substr(0, kMostName)}, {"why", wrong.what()}});
     reply = error_reply(400, wrong.what());
   }
   if (reply) server->answer(caller, *reply);
--- a/src/distribution/program.cpp
+++ b/src/distribution/program.cpp
@@ -88,7 +88,7 @@
   raise_descriptor_limit();
   try {
     const bool json = given.log_form == "json";
-    log::open(log::Level::info, json ? log::Form::json : log::Form::plain, options.name);
+    log::configure(log::Level::info, json ? log::Format::json : log::Format::plain, options.name);
     check(options, given);
     serve(options, disk, clock, heeded);
     return EXIT_SUCCESS;
--- a/src/distribution/revision.cpp
+++ b/src/distribution/revision.cpp
@@ -103,12 +103,12 @@
 Revision read_revision(const json& from) {
   if (!from.is_object()) throw BadInput("not an object");
   Revision out;
-  out.index = config::whole(from, "index");
+  out.index = config::integer(from, "index");
   out.fleet = config::text(from, "fleet");
-  out.settings = canonical(config::need(from, "settings"));
-  out.share = config::number(config::need(from, "share"), "share");
+  out.settings = canonical(config::required(from, "settings"));
+  out.share = config::number(config::required(from, "share"), "share");
   out.author = config::text(from, "author");
-  out.made_ms = config::whole(from, "made_ms");
+  out.made_ms = config::integer(from, "made_ms");
   out.digest = config::text(from, "digest");
   const auto fault = fault_of(out, "");
   if (!fault) return out;
--- a/src/distribution/watch_messages.cpp
+++ b/src/distribution/watch_messages.cpp
@@ -141,7 +141,7 @@
 
 WatchAnswer read_watch_answer(const nlohmann::json& from) {
   WatchAnswer out;
-  out.newest = config::whole(from, "newest");
+  out.newest = config::integer(from, "newest");
   if (out.newest < 0) throw config::BadInput("newest: below 0");
   const auto revision = from.find("revision");
   if (revision == from.end()) return out;
--- a/src/events/pipe.cpp
+++ b/src/events/pipe.cpp
@@ -19,8 +19,8 @@
 
 Pipe::~Pipe() { loop_.forget(fd_.get(), place_); }
 
-void Pipe::line(std::string_view text) {
-  if (pending_.size() + text.size() + 1 > kMostPending) {
+void Pipe::write_line(std::string_view text) {
+  if (pending_.size() + text.size() + 1 > kMaxPendingBytes) {
     ++dropped_;
     return;
   }
--- a/src/events/pipe.h
+++ b/src/events/pipe.h
@@ -12,7 +12,7 @@
 
 namespace marbledyke::events {
 
-inline constexpr std::size_t kMostPending = 256 * 1024;
+inline constexpr std::size_t kMaxPendingBytes = 256 * 1024;
 
 class Pipe final : public net::Watcher {
  public:
@@ -22,7 +22,7 @@
   Pipe(const Pipe&) = delete;
   Pipe& operator=(const Pipe&) = delete;
 
-  void line(std::string_view text);  // without its end
+  void write_line(std::string_view text);  // without its end
   std::uint64_t dropped() const { return dropped_; }
 
   void ready(bool readable, bool writable) override;
--- a/src/fleet/file.h
+++ b/src/fleet/file.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "config/fault.h"
+#include "config/file_error.h"
 #include "net/address.h"
 
 namespace marbledyke::fleet {
@@ -33,7 +33,7 @@
 
 struct Read {
   std::optional<Fleet> fleet;  // none where there is a fault
-  std::vector<config::Fault> faults;
+  std::vector<config::FileError> faults;
 };
 Read read_fleet(const std::string& text);
 Read read_fleet_file(const std::string& path);
--- a/src/fleet/main.cpp
+++ b/src/fleet/main.cpp
@@ -30,7 +30,7 @@
 
 std::optional<Fleet> read(const std::string& file) {
   const fleet::Read result = fleet::read_fleet_file(file);
-  for (const config::Fault& fault : result.faults) std::cerr << config::text_of(file, fault) << '\n';
+  for (const config::FileError& fault : result.faults) std::cerr << config::format_error(file, fault) << '\n';
   return result.fleet;
 }
 
@@ -299,7 +299,8 @@
   if (*settings.group) return run_configuration(*fleet, settings);
   if (*plan_command || *start_command) {
     const rollout::Read plan = rollout::read_plan_file(plan_file);
-    for (const config::Fault& fault : plan.faults) std::cerr << config::text_of(plan_file, fault) << '\n';
+    for (const config::FileError& fault : plan.faults)
+      std::cerr << config::format_error(plan_file, fault) << '\n';
     if (!plan.plan) return 1;
     return *plan_command ? fleet::rollout_plan(*fleet, *plan.plan)
                          : fleet::rollout_start(*fleet, *plan.plan, folder);
--- a/src/fleet/rollout.cpp
+++ b/src/fleet/rollout.cpp
@@ -158,7 +158,7 @@
   Seen& seen = seen_[keeper];
   const std::int64_t ahead = said.value("wall_ms", std::int64_t{0}) - loop_.clock().wall() / 1ms;
   for (const json& one : config::array(said, "windows")) {
-    const totals::Window window = totals::read_window(one);
+    const totals::Window window = totals::parse_window(one);
     evidence_.heard(keeper, one.value("version", ""), one.value("since_ms", std::int64_t{0}), ahead, window);
     // Asked for once more while its process may still tell of it late.
     seen.windows_from = std::max(seen.windows_from, window.start_ms - 3000);
--- a/src/fleet/spread.cpp
+++ b/src/fleet/spread.cpp
@@ -23,10 +23,10 @@
   out.name = config::text(from, "name");
   out.zone = config::text(from, "zone");
   out.why = config::text(from, "why");
-  out.index = config::whole(from, "index");
-  out.refused = config::whole(from, "refused");
-  out.heard_ms_ago = config::whole(from, "heard_ms_ago");
-  out.in_force_ms_ago = config::whole(from, "in_force_ms_ago");
+  out.index = config::integer(from, "index");
+  out.refused = config::integer(from, "refused");
+  out.heard_ms_ago = config::integer(from, "heard_ms_ago");
+  out.in_force_ms_ago = config::integer(from, "in_force_ms_ago");
   return out;
 }
 
--- a/src/front/front.h
+++ b/src/front/front.h
@@ -13,29 +13,29 @@
 
 namespace marbledyke::front {
 
-struct Piece {
+struct Part {
   int shard = 0;
-  double mass = 0;  // share of the whole answer; those of a multiget add up to 1
+  double weight = 0;  // share of the whole answer; those of a multiget add up to 1
   std::uint64_t key = 0;
-  Span hint{};  // of the work; zero: none
+  Span work_estimate{};  // of the work; zero: none
 };
 
 // A client's multiget. Its id is unique among those in hand, and of characters that a frame's line may hold.
-struct Ask {
+struct Multiget {
   std::string id;
   int op_type = 0;
-  int customer = -1;      // none that the terms name
-  Span patience{};        // from when the client sent it
-  bool repeated = false;  // the client says that it has tried before
-  std::vector<Piece> pieces;
+  int customer = -1;             // none that the terms name
+  Span client_timeout{};         // from when the client sent it
+  bool is_client_retry = false;  // the client says that it has tried before
+  std::vector<Part> parts;
   std::shared_ptr<const std::string> text;  // what every part carries
 };
 
 // A request that has come in whole.
-struct Asked {
+struct Request {
   std::uint64_t caller = 0;  // the front's own number for who waits for the answer; never 0
-  Ask ask;
-  Span sent_by{};  // its first byte was here then
+  Multiget multiget;
+  Span first_byte_at{};  // its first byte was here then
 };
 
 struct Value {
@@ -44,10 +44,10 @@
 };
 
 enum class Refusal {
-  pushed_back,  // trying again is harmless
-  no_room,      // the same: as much is in hand as may be
-  same_id,      // one of that id is in hand
-  failed        // it may have run
+  pushed_back,   // trying again is harmless
+  at_capacity,   // the same: as much is in hand as may be
+  duplicate_id,  // one of that id is in hand
+  failed         // it may have run
 };
 
 class Front {
@@ -59,22 +59,22 @@
   virtual void refuse(std::uint64_t caller, Refusal why, Span come_back) = 0;
 
   // A planned stop, in this order.
-  virtual void leave() = 0;  // says so to who asks whether this gatherer serves
+  virtual void announce_stop() = 0;  // says so to who asks whether this gatherer serves
   virtual void stop_accepting() = 0;
-  virtual void part_with_all() = 0;  // from now on each connection is closed after its answer
+  virtual void close_after_answers() = 0;  // from now on each connection is closed after its answer
   virtual void close_idle(Span since) = 0;
 
-  virtual bool make_room() = 0;    // ends the connection that can best be spared
+  virtual bool release_connection() = 0;  // ends the connection that can best be spared
   virtual bool empty() const = 0;  // no client is connected; in a planned stop also: none can come any more
-  virtual bool writing() const { return false; }  // a client has not read all of its answer yet
+  virtual bool is_writing() const { return false; }  // a client has not read all of its answer yet
   virtual std::size_t size() const = 0;
-  virtual void bury() = 0;  // frees what has ended; not while it may still be told of it
+  virtual void destroy_closed() = 0;  // frees what has ended; not while it may still be told of it
 
-  virtual void report() const {}  // a line of totals in the log
+  virtual void log_totals() const {}  // a line of totals in the log
 
   // What has come in since the last time.
-  std::vector<Asked> asked;
-  std::vector<std::uint64_t> left;  // callers with a multiget in hand that have gone
+  std::vector<Request> requests;
+  std::vector<std::uint64_t> departed;  // callers with a multiget in hand that have gone
 };
 
 }  // namespace marbledyke::front
--- a/src/gatherer/gatherer.cpp
+++ b/src/gatherer/gatherer.cpp
@@ -34,20 +34,21 @@
 constexpr int kOwnDescriptors = 9;
 
 // The descriptors left for clients beside those that each listed server may need.
-std::size_t client_room(const config::Commission& commission, std::size_t listed) {
-  const int left = commission.sockets - kOwnDescriptors - servers::kFewLinks * static_cast<int>(listed);
-  return static_cast<std::size_t>(std::max(left, commission.sockets / 2));
+std::size_t client_room(const config::GathererConfig& gatherer_config, std::size_t listed) {
+  const int left =
+      gatherer_config.max_sockets - kOwnDescriptors - servers::kFewLinks * static_cast<int>(listed);
+  return static_cast<std::size_t>(std::max(left, gatherer_config.max_sockets / 2));
 }
 
-std::size_t known_servers(const config::Commission& commission) {
-  return commission.known.is_object() && commission.known.contains("endpoints")
-             ? commission.known["endpoints"].size()
+std::size_t known_servers(const config::GathererConfig& gatherer_config) {
+  return gatherer_config.known_list.is_object() && gatherer_config.known_list.contains("endpoints")
+             ? gatherer_config.known_list["endpoints"].size()
              : 0;
 }
 
-list::News read_known(const config::Commission& commission, Span unix_start) {
+list::News read_known(const config::GathererConfig& gatherer_config, Span unix_start) {
   try {
-    return list::read_news(commission.known, commission.carriage, unix_start);
+    return list::read_news(gatherer_config.known_list, gatherer_config.settings, unix_start);
   } catch (const config::BadInput& wrong) {
     throw config::BadInput(std::string("known.") + wrong.what());
   }
@@ -55,25 +56,27 @@
 
 }  // namespace
 
-Gatherer::Gatherer(config::Commission& commission, net::Descriptor listening, const TimeSource& clock)
-    : commission_(commission),
-      discovery_(commission.discovery),
+Gatherer::Gatherer(config::GathererConfig& gatherer_config, net::Descriptor listening,
+                   const TimeSource& clock)
+    : gatherer_config_(gatherer_config),
+      discovery_(gatherer_config.discovery),
       loop_(clock),
       unix_start_((loop_.read_clock(), clock.wall() - loop_.now())),
-      choice_(commission.terms, commission.seed),
-      servers_(loop_, commission.carriage, commission.seed, [this] { return make_room(); }),
-      clients_(loop_, commission.carriage, commission.listen,
-               client_room(commission, known_servers(commission)), std::move(listening)),
-      watch_(loop_, commission, unix_start_,
+      choice_(gatherer_config.terms, gatherer_config.seed),
+      servers_(loop_, gatherer_config.settings, gatherer_config.seed,
+               [this] { return release_connection(); }),
+      clients_(loop_, gatherer_config.settings, gatherer_config.listen,
+               client_room(gatherer_config, known_servers(gatherer_config)), std::move(listening)),
+      watch_(loop_, gatherer_config, unix_start_,
              {[this](list::News news) { news_.push_back(std::move(news)); },
               [this](Span most_backoff) { refusals_.push_back(most_backoff); }}),
-      hand_(static_cast<std::size_t>(commission.carriage.most_in_hand)) {
+      hand_(static_cast<std::size_t>(gatherer_config.settings.max_pending)) {
   loop_.tell_long_turns(kLongTurn, [this](const net::Loop::Turn& turn) {
-    long_turns_.event({{"ms", turn.took / 1ms}, {"processor_ms", turn.processor / 1ms}, {"in_hand", open_}});
+    long_turns_.write({{"ms", turn.took / 1ms}, {"processor_ms", turn.processor / 1ms}, {"in_hand", open_}});
   });
   choice_.clock(loop_.now());
-  if (commission.known.is_object()) {
-    list::News known = read_known(commission, unix_start_);
+  if (gatherer_config.known_list.is_object()) {
+    list::News known = read_known(gatherer_config, unix_start_);
     known.whole = true;
     servers_.listed(known);
     choice_.list_opens(true, true);
@@ -84,7 +87,7 @@
                {{"servers", known.entries.size()}, {"version", known.index}, {"left_out", known.skipped}});
     done_.unreadable += static_cast<std::uint64_t>(known.skipped);
   }
-  if (!commission.carriage.list_is_asked) watch_.ask(true);
+  if (!gatherer_config.settings.list_polled) watch_.ask(true);
 }
 
 void Gatherer::add(std::unique_ptr<front::Front> front) {
@@ -93,8 +96,8 @@
 }
 
 void Gatherer::add(std::unique_ptr<carrier::Carrier> carrier) {
-  if (commission_.known.is_object()) {
-    list::News known = read_known(commission_, unix_start_);
+  if (gatherer_config_.known_list.is_object()) {
+    list::News known = read_known(gatherer_config_, unix_start_);
     known.whole = true;
     carrier->listed(known);
   }
@@ -113,16 +116,18 @@
     return true;
   return woken_ || !servers_.ended.empty() || !servers_.probed.empty() || !news_.empty() ||
          !refusals_.empty() || !second_steps_.empty() ||
-         std::any_of(fronts_.begin(), fronts_.end(),
-                     [](const front::Front* one) { return !one->asked.empty() || !one->left.empty(); });
+         std::any_of(fronts_.begin(), fronts_.end(), [](const front::Front* one) {
+           return !one->requests.empty() || !one->departed.empty();
+         });
 }
 
 // The front with the most connections gives one up first.
-bool Gatherer::make_room() {
+bool Gatherer::release_connection() {
   std::vector<front::Front*> by_size = fronts_;
   std::stable_sort(by_size.begin(), by_size.end(),
                    [](const front::Front* a, const front::Front* b) { return a->size() > b->size(); });
-  return std::any_of(by_size.begin(), by_size.end(), [](front::Front* one) { return one->make_room(); });
+  return std::any_of(by_size.begin(), by_size.end(),
+                     [](front::Front* one) { return one->release_connection(); });
 }
 
 bool Gatherer::no_clients() const {
@@ -130,17 +135,18 @@
 }
 
 bool Gatherer::writing() const {
-  return std::any_of(fronts_.begin(), fronts_.end(), [](const front::Front* one) { return one->writing(); });
+  return std::any_of(fronts_.begin(), fronts_.end(),
+                     [](const front::Front* one) { return one->is_writing(); });
 }
 
-bool Gatherer::turn() {
+bool Gatherer::run_once() {
   if (any_news()) loop_.at(loop_.now(), [] {});  // what carrying out has brought up does not wait
   loop_.gather();
   if (any_news()) {
     hand_over();
     carry_out();
   }
-  for (front::Front* one : fronts_) one->bury();
+  for (front::Front* one : fronts_) one->destroy_closed();
   for (const auto& one : carriers_) one->bury();
   if (!leave_by_ || accepting_) return true;
   if (parting_) {
@@ -155,32 +161,32 @@
 // not back yet nobody else serves them. So these are served on for as long as what comes can still be
 // answered within its latency budget before the end by force. Harm: a stop takes longer than what is in hand
 // would need.
-void Gatherer::leave() {
+void Gatherer::begin_stop() {
   if (leave_by_) return;
-  const config::Carriage& carriage = commission_.carriage;
-  leave_by_ = loop_.now() + std::min(carriage.longest_timeout, kLongestStop) + kBeforeForce - kLastAnswers;
-  for (front::Front* one : fronts_) one->leave();
+  const config::ServiceSettings& settings = gatherer_config_.settings;
+  leave_by_ = loop_.now() + std::min(settings.max_route_timeout, kLongestStop) + kBeforeForce - kLastAnswers;
+  for (front::Front* one : fronts_) one->announce_stop();
   log::event(log::Level::info, "gatherer.stopping", {{"in_hand", open_}, {"clients", clients_.size()}});
   loop_.at(loop_.now() + kStillComing, [this] {
     accepting_ = false;
     for (front::Front* one : fronts_) one->stop_accepting();
   });
-  loop_.at(std::max(*leave_by_ - carriage.longest_budget, loop_.now() + kStillComing), [this] {
+  loop_.at(std::max(*leave_by_ - settings.max_latency_budget, loop_.now() + kStillComing), [this] {
     parting_ = true;
-    for (front::Front* one : fronts_) one->part_with_all();
+    for (front::Front* one : fronts_) one->close_after_answers();
   });
 }
 
-void Gatherer::reload(const config::Commission& fresh) {
+void Gatherer::reload(const config::GathererConfig& fresh) {
   Choice(fresh.terms, fresh.seed);  // checks them before anything is changed
   const auto waits = [](bool differs, const std::string& key) {
     if (differs) log::event(log::Level::warning, "configuration.waits_for_start", {{"key", key}});
   };
-  waits(fresh.name != commission_.name, "name");
-  waits(fresh.listen != commission_.listen, "listen");
-  waits(fresh.sockets != commission_.sockets, "limits.sockets");
+  waits(fresh.name != gatherer_config_.name, "name");
+  waits(fresh.listen != gatherer_config_.listen, "listen");
+  waits(fresh.max_sockets != gatherer_config_.max_sockets, "limits.sockets");
   const bool ask_anew = renew(fresh);
-  commission_.digest = fresh.digest;
+  gatherer_config_.digest = fresh.digest;
   if (fresh.settings_index) {
     log::event(log::Level::info, "configuration.read_again",
                {{"discovery", fresh.discovery_host}, {"settings_index", *fresh.settings_index}});
@@ -194,11 +200,11 @@
 // The settings change between two turns, at once for the module and for all that carries out what it decides;
 // true: zones or cells have other names, so the list has to be read under these. What has been gathered was
 // read under the old settings and is handed over first.
-bool Gatherer::renew(const config::Commission& fresh) {
-  const config::Carriage& to = fresh.carriage;
-  config::Carriage& from = commission_.carriage;
+bool Gatherer::renew(const config::GathererConfig& fresh) {
+  const config::ServiceSettings& to = fresh.settings;
+  config::ServiceSettings& from = gatherer_config_.settings;
   std::size_t changed = 0;
-  const Terms& present = commission_.terms;
+  const Terms& present = gatherer_config_.terms;
   for (const auto* terms : {&fresh.terms, &present}) {
     const Terms& others = terms == &fresh.terms ? present : fresh.terms;
     for (const auto& [name, term] : *terms) {
@@ -209,11 +215,12 @@
     }
   }
   if (changed == 0) {
-    commission_.settings_index = fresh.settings_index;
+    gatherer_config_.settings_index = fresh.settings_index;
     return false;
   }
-  const auto same = [](const config::OpName& a, const config::OpName& b) {
-    return a.name == b.name && a.once == b.once && a.second_step == b.second_step && a.floor == b.floor;
+  const auto same = [](const config::OpTypeSettings& a, const config::OpTypeSettings& b) {
+    return a.name == b.name && a.non_retriable == b.non_retriable &&
+           a.second_step_parts == b.second_step_parts && a.min_answer_share == b.min_answer_share;
   };
   if (!more_fronts_.empty() &&
       !std::equal(to.op_types.begin(), to.op_types.end(), from.op_types.begin(), from.op_types.end(), same)) {
@@ -226,9 +233,9 @@
   choice_.renew(fresh.terms);
   const bool ask_anew = to.zones != from.zones || to.cells != from.cells;
   if (ask_anew) servers_.renumber_zones(from.zones, to.zones);
-  const bool pushed_now = from.list_is_asked && !to.list_is_asked;
-  commission_.terms = fresh.terms;
-  commission_.settings_index = fresh.settings_index;
+  const bool pushed_now = from.list_polled && !to.list_polled;
+  gatherer_config_.terms = fresh.terms;
+  gatherer_config_.settings_index = fresh.settings_index;
   from = to;
   if (pushed_now) watch_.ask(true);
   if (fresh.settings_index) {
@@ -240,9 +247,9 @@
   return ask_anew;
 }
 
-void Gatherer::operate(const operator_file::Terms& terms) {
+void Gatherer::apply_operator_terms(const operator_file::Terms& terms) {
   addresses::Rules rules = terms.connecting;
-  if (!terms.attempt_stated) rules.attempt = commission_.carriage.connect_timeout;
+  if (!terms.attempt_stated) rules.attempt = gatherer_config_.settings.connect_timeout;
   rules.race = std::max(rules.race, rules.attempt);
   servers_.configure(rules, terms.servers);
   for (const auto& one : carriers_) one->configure(terms.servers);
@@ -257,7 +264,7 @@
   for (const Span most_backoff : std::exchange(refusals_, {})) {
     choice_.list_refused(most_backoff);
     // Where the list is pushed nobody decides to ask for it; the connection that brings it is kept up here.
-    if (!commission_.carriage.list_is_asked)
+    if (!gatherer_config_.settings.list_polled)
       loop_.at(loop_.now() + list::kAgentBackoff, [this] { watch_.ask(true); });
   }
   for (servers::Ended& ended : std::exchange(servers_.ended, {})) sent_back(ended);
@@ -274,8 +281,8 @@
   }
   if (leave_by_ && loop_.now() >= *leave_by_) fail_what_outlasts_stop();
   for (std::size_t i = 0; i < fronts_.size(); ++i) {
-    for (front::Asked& asked : std::exchange(fronts_[i]->asked, {})) take(i, asked);
-    for (const std::uint64_t caller : std::exchange(fronts_[i]->left, {})) left(i, caller);
+    for (front::Request& asked : std::exchange(fronts_[i]->requests, {})) take(i, asked);
+    for (const std::uint64_t caller : std::exchange(fronts_[i]->departed, {})) left(i, caller);
   }
 }
 
@@ -288,7 +295,7 @@
   mg.caller = 0;
   over(mg);
   done_.left += 1;
-  if (totals::Count* count = counted(mg)) count->left += 1;
+  if (totals::OpTypeCounts* count = counted(mg)) count->left += 1;
   log::event(log::Level::debug, "multiget.ended",
              {{"multiget", mg.wire_id}, {"caller", caller}, {"how", "client_left"}});
   choice_.client_left(id);
@@ -307,7 +314,7 @@
     mg.caller = 0;
     over(mg);
     done_.failed += 1;
-    if (totals::Count* count = counted(mg)) count->failed += 1;
+    if (totals::OpTypeCounts* count = counted(mg)) count->failed += 1;
     log::event(log::Level::debug, "multiget.ended",
                {{"multiget", mg.wire_id}, {"caller", caller.second}, {"how", "stopped"}});
     fronts_[caller.first]->refuse(caller.second, front::Refusal::failed, {});
@@ -350,7 +357,7 @@
                                                                         : "gone"}});
   }
   choice_.list_closes();
-  clients_.room(client_room(commission_, servers_.servers_listed()));
+  clients_.room(client_room(gatherer_config_, servers_.servers_listed()));
   if (!news.entries.empty())
     log::event(
         log::Level::info, "list.came",
@@ -381,21 +388,21 @@
   return &hand_.at(place);
 }
 
-void Gatherer::take(std::size_t from, front::Asked& asked) {
-  front::Ask& ask = asked.ask;
-  if (held_ >= commission_.carriage.most_in_hand) {
+void Gatherer::take(std::size_t from, front::Request& asked) {
+  front::Multiget& ask = asked.multiget;
+  if (held_ >= gatherer_config_.settings.max_pending) {
     done_.no_room += 1;
     if (record_) {
-      totals::Count& count =
+      totals::OpTypeCounts& count =
           record_->window
-              .by_op_type[commission_.carriage.op_types[static_cast<std::size_t>(ask.op_type)].name];
+              .by_op_type[gatherer_config_.settings.op_types[static_cast<std::size_t>(ask.op_type)].name];
       count.taken += 1;
       count.pushed_back += 1;
     }
-    return fronts_[from]->refuse(asked.caller, front::Refusal::no_room, {});
+    return fronts_[from]->refuse(asked.caller, front::Refusal::at_capacity, {});
   }
   if (by_wire_id_.contains(ask.id)) {
-    return fronts_[from]->refuse(asked.caller, front::Refusal::same_id, {});
+    return fronts_[from]->refuse(asked.caller, front::Refusal::duplicate_id, {});
   }
   const std::uint32_t number = next_number_++;
   Rid id;
@@ -406,20 +413,21 @@
   mg.front = from;
   mg.caller = asked.caller;
   mg.wire_id = ask.id;
-  const config::OpName& op = commission_.carriage.op_types[static_cast<std::size_t>(ask.op_type)];
-  mg.second_step = op.second_step;
-  mg.once = op.once;
+  const config::OpTypeSettings& op =
+      gatherer_config_.settings.op_types[static_cast<std::size_t>(ask.op_type)];
+  mg.second_step = op.second_step_parts;
+  mg.once = op.non_retriable;
   if (record_) {
     mg.op_type = op.name;
-    mg.began = asked.sent_by;
-    mg.budget = op.budget;
-    totals::Count& count = record_->window.by_op_type[op.name];
+    mg.began = asked.first_byte_at;
+    mg.budget = op.latency_budget;
+    totals::OpTypeCounts& count = record_->window.by_op_type[op.name];
     count.taken += 1;
     count.importance = op.importance;
   }
   mg.text = ask.text;
-  for (const front::Piece& piece : ask.pieces) {
-    mg.pieces.push_back({piece.shard, piece.mass, piece.key, piece.hint, 0, false, 0, {}});
+  for (const front::Part& piece : ask.parts) {
+    mg.pieces.push_back({piece.shard, piece.weight, piece.key, piece.work_estimate, 0, false, 0, {}});
   }
   by_caller_[{from, asked.caller}] = id;
   by_wire_id_[mg.wire_id] = id;
@@ -427,10 +435,10 @@
   done_.sent += 1;
   held_ += 1;
   log::event(log::Level::debug, "multiget.taken", {{"multiget", mg.wire_id}, {"caller", asked.caller}});
-  const Span client_leaves = asked.sent_by + ask.patience;
+  const Span client_leaves = asked.first_byte_at + ask.client_timeout;
   mg.until = leave_by_ ? std::min(client_leaves, *leave_by_) : client_leaves;
   choice_.multiget_taken({id, static_cast<double>(number), ask.op_type, ask.customer,
-                          static_cast<int>(mg.pieces.size()), mg.until, ask.repeated});
+                          static_cast<int>(mg.pieces.size()), mg.until, ask.is_client_retry});
   hand_parts(mg);
 }
 
@@ -448,7 +456,7 @@
 void Gatherer::sent_back(servers::Ended& ended) {
   std::size_t at = 0;
   InHand* mg = hand_of(ended.part, &at);
-  if (!must_hold(mg != nullptr, "a send that ends belongs to a multiget in hand")) return;
+  if (!check_invariant(mg != nullptr, "a send that ends belongs to a multiget in hand")) return;
   Piece& piece = mg->pieces[at];
   mg->out -= 1;
   if (ended.fate == Fate::revoked || ended.fate == Fate::expired || ended.fate == Fate::dropped)
@@ -482,10 +490,10 @@
   while (const auto send = choice_.next_send()) {
     std::size_t at = 0;
     InHand* mg = hand_of(send->part, &at);
-    if (!must_hold(mg != nullptr && !mg->over, "a send belongs to a multiget without its final answer"))
+    if (!check_invariant(mg != nullptr && !mg->over, "a send belongs to a multiget without its final answer"))
       continue;
     Piece& piece = mg->pieces[at];
-    if (totals::Count* count = counted(*mg)) {
+    if (totals::OpTypeCounts* count = counted(*mg)) {
       count->sends += 1;
       count->further += piece.sent > 0 ? 1 : 0;
     }
@@ -531,12 +539,12 @@
 // are answered so much later.
 void Gatherer::decided(const Verdict& verdict) {
   InHand* mg = hand_of(verdict.multiget);
-  if (!must_hold(mg != nullptr && !mg->over, "one final answer for each multiget")) return;
+  if (!check_invariant(mg != nullptr && !mg->over, "one final answer for each multiget")) return;
   const Span newest = std::max(mg->out > 0 ? mg->last_send : mg->last_given, mg->last_given);
   const Span silent = servers_.silent_until();
   const Span clear = (mg->out > 0 ? std::max(newest, silent) : newest) + kSlack;
   if (loop_.now() > clear) return answered(*mg, verdict);
-  const Span tick = loop_.now() + commission_.carriage.tick;
+  const Span tick = loop_.now() + gatherer_config_.settings.tick;
   loop_.at(verdict.ending == Ending::answer ? std::max(tick, clear) : tick, [this, verdict] {
     InHand* late = hand_of(verdict.multiget);
     if (late != nullptr && !late->over) answered(*late, verdict);
@@ -551,7 +559,7 @@
   by_caller_.erase({mg.front, caller});
   front::Front& its = *fronts_[mg.front];
   over(mg);
-  if (totals::Count* count = counted(mg)) {
+  if (totals::OpTypeCounts* count = counted(mg)) {
     const Span took = loop_.now() - mg.began;
     if (verdict.ending == Ending::answer) {
       count->answered += 1;
--- a/src/gatherer/gatherer.h
+++ b/src/gatherer/gatherer.h
@@ -12,8 +12,8 @@
 
 #include "carrier/carrier.h"
 #include "choice.h"
-#include "clients/clients.h"
-#include "config/commission.h"
+#include "clients/http_front.h"
+#include "config/gatherer_config.h"
 #include "front/front.h"
 #include "list/watch.h"
 #include "log/log.h"
@@ -27,32 +27,32 @@
 
 class Gatherer {
  public:
-  // Outlived by the commission, whose settings change with reload().
+  // Outlived by the gatherer_config, whose settings change with reload().
   // A socket that listens already at the address for clients may be given, and another clock.
-  explicit Gatherer(config::Commission& commission, net::Descriptor listening = {},
+  explicit Gatherer(config::GathererConfig& gatherer_config, net::Descriptor listening = {},
                     const TimeSource& clock = machine_clock());
 
   // A further front beside the platform's; before the first turn.
   void add(std::unique_ptr<front::Front> front);
   // The way to servers that speak another protocol than frames; before the first turn.
   void add(std::unique_ptr<carrier::Carrier> carrier);
-  bool make_room();  // a descriptor is needed; false: none can be given up
+  bool release_connection();  // a descriptor is needed; false: none can be given up
 
   // One turn; false once all is done after leave().
-  bool turn();
+  bool run_once();
   // A planned stop: clients that are connected are served for a while yet, what was taken is finished.
-  void leave();
+  void begin_stop();
   // The configuration read anew: settings and discovery are taken, the rest is named in the log. What was
   // taken in is finished under the settings it came under. Throws, and changes nothing, where they make no
   // sense.
-  void reload(const config::Commission& fresh);
+  void reload(const config::GathererConfig& fresh);
   // The operator's own terms, at the start and whenever they were read again.
-  void operate(const operator_file::Terms& terms);
+  void apply_operator_terms(const operator_file::Terms& terms);
   net::Loop& loop() { return loop_; }
-  void report();  // a log line of what has been done
+  void log_totals();  // a log line of what has been done
   // From now on each second of the wall clock is counted by op type and told, one line of JSON each, after
   // it.
-  void record(std::function<void(const std::string& line)> told);
+  void record_windows(std::function<void(const std::string& line)> told);
   const servers::Tally& tally() const { return servers_.tally(); }
   const servers::Servers& servers() const { return servers_; }
 
@@ -112,7 +112,7 @@
   bool writing() const;
   void hand_over();
   void carry_out();
-  void take(std::size_t front, front::Asked& asked);
+  void take(std::size_t front, front::Request& asked);
   void left(std::size_t front, std::uint64_t caller);
   void fail_what_outlasts_stop();
   void hand_parts(InHand& mg);
@@ -125,19 +125,19 @@
   void list_came(list::News&& news);
   carrier::Carrier* carrier_of(std::string_view server);
 
-  bool renew(const config::Commission& fresh);
+  bool renew(const config::GathererConfig& fresh);
   void tell_window();
   // Where a multiget is counted; none: nobody is told.
-  totals::Count* counted(const InHand& mg);
+  totals::OpTypeCounts* counted(const InHand& mg);
 
-  config::Commission& commission_;
+  config::GathererConfig& gatherer_config_;
   net::Address discovery_;  // the one of the newest configuration
   net::Loop loop_;
   Span unix_start_;
   Choice choice_;
   servers::Servers servers_;
   std::vector<std::unique_ptr<carrier::Carrier>> carriers_;
-  clients::Clients clients_;
+  clients::HttpFront clients_;
   std::vector<std::unique_ptr<front::Front>> more_fronts_;
   std::vector<front::Front*> fronts_{&clients_};  // all of them, the platform's first
   list::Watch watch_;
@@ -155,7 +155,7 @@
   std::optional<Span> leave_by_;  // in a planned stop: when all must be over
   bool accepting_ = true, parting_ = false;
   Taken done_;
-  log::Throttled long_turns_{log::Level::warning, "gatherer.long_turn"};
+  log::RateLimitedEvent long_turns_{log::Level::warning, "gatherer.long_turn"};
   std::optional<Record> record_;
 };
 
--- a/src/gatherer/totals.cpp
+++ b/src/gatherer/totals.cpp
@@ -10,12 +10,12 @@
 
 using namespace std::chrono_literals;
 
-totals::Count* Gatherer::counted(const InHand& mg) {
+totals::OpTypeCounts* Gatherer::counted(const InHand& mg) {
   if (!record_ || mg.op_type.empty()) return nullptr;
   return &record_->window.by_op_type[mg.op_type];
 }
 
-void Gatherer::record(std::function<void(const std::string&)> told) {
+void Gatherer::record_windows(std::function<void(const std::string&)> told) {
   record_.emplace();
   record_->told = std::move(told);
   const std::int64_t ms = loop_.clock().wall() / 1ms;
@@ -30,17 +30,17 @@
   Record& record = *record_;
   const std::int64_t ms = loop_.clock().wall() / 1ms;
   record.window.in_hand = static_cast<std::uint64_t>(open_);
-  record.window.broken_invariants = broken_invariants();
+  record.window.broken_invariants = invariant_violations();
   record.window.not_connected = servers_.tally().dial_failed;
   record.window.dropped = servers_.tally().dropped;
   char digest[17];
-  std::snprintf(digest, sizeof digest, "%016llx", static_cast<unsigned long long>(commission_.digest));
+  std::snprintf(digest, sizeof digest, "%016llx", static_cast<unsigned long long>(gatherer_config_.digest));
   nlohmann::json told = {{"event", "window"},
                          {"number", ++record.number},
                          {"configuration", digest},
                          {"stopping", leave_by_.has_value()},
-                         {"window", totals::put(record.window)}};
-  if (commission_.settings_index) told["settings_index"] = *commission_.settings_index;
+                         {"window", totals::to_json(record.window)}};
+  if (gatherer_config_.settings_index) told["settings_index"] = *gatherer_config_.settings_index;
   record.told(told.dump());
   record.window.by_op_type.clear();
   record.window.start_ms = ms - ms % totals::kWindowMs;
@@ -48,8 +48,8 @@
            [this] { tell_window(); });
 }
 
-void Gatherer::report() {
-  for (const auto& front : more_fronts_) front->report();
+void Gatherer::log_totals() {
+  for (const auto& front : more_fronts_) front->log_totals();
   for (const auto& one : carriers_) {
     const carrier::Tally& t = one->tally();
     log::event(log::Level::info, "carrier.totals",
@@ -68,7 +68,7 @@
                 {"out_of_step", t.out_of_step}});
   }
   const servers::Tally& t = servers_.tally();
-  const clients::Clients::Tally& c = clients_.tally();
+  const clients::HttpFront::Tally& c = clients_.tally();
   const addresses::Tally& a = servers_.book().tally();
   log::event(log::Level::info, "gatherer.totals",
              {{"taken", done_.sent},
@@ -105,7 +105,7 @@
               {"trials", a.trials},
               {"trials_passed", a.trials_passed},
               {"contested", a.contested},
-              {"broken_invariants", broken_invariants()}});
+              {"broken_invariants", invariant_violations()}});
 }
 
 }  // namespace marbledyke::gatherer
--- a/src/keeper/keeper.cpp
+++ b/src/keeper/keeper.cpp
@@ -35,18 +35,18 @@
 
 std::optional<std::int64_t> settings_index_of(const json& event) {
   if (!event.contains("settings_index")) return std::nullopt;
-  return config::whole(event, "settings_index");
+  return config::integer(event, "settings_index");
 }
 
 // A share of chance that is this keeper's own, so that those of a fleet do not wait in step.
 double jitter_of(const std::string& name) { return static_cast<double>(hash_text(name) % 1000) / 2000.0; }
 
-json counts(const totals::Count& c) {
-  json out = totals::put(c);
+json counts(const totals::OpTypeCounts& c) {
+  json out = totals::to_json(c);
   out.erase("latency");
   out.erase("importance");
-  out["median_us"] = c.latency.at(0.5).count();
-  out["p99_us"] = c.latency.at(0.99).count();
+  out["median_us"] = c.latency.quantile(0.5).count();
+  out["p99_us"] = c.latency.quantile(0.99).count();
   return out;
 }
 
@@ -284,12 +284,12 @@
     // What a process said last may be read after a long time without a turn.
     minder_->tick(loop_.now(), loop_.clock().wall());
     if (name == "window") {
-      totals::Window window = totals::read_window(config::object(event, "window"));
-      const auto count = static_cast<std::uint64_t>(config::whole(event, "number"));
+      totals::Window window = totals::parse_window(config::object(event, "window"));
+      const auto count = static_cast<std::uint64_t>(config::integer(event, "number"));
       if (slot.number != 0 && count > slot.number + 1) slot.missed += count - slot.number - 1;
       slot.number = count;
       slot.windows += 1;
-      const totals::Count all = window.all();
+      const totals::OpTypeCounts all = window.total();
       if (settings_ && number == minder_->lead()) settings_->runs(settings_index_of(event));
       minder_->heard(number, {config::text(event, "configuration"), all.taken, all.ended(), window.in_hand});
       slot.series.add(std::move(window));
@@ -538,7 +538,7 @@
   for (int i = 0; i < kSlots; ++i) {
     const Slot& slot = slots_[i];
     for (auto at = slot.series.windows().lower_bound(from_ms); at != slot.series.windows().end(); ++at) {
-      json one = totals::put(at->second);
+      json one = totals::to_json(at->second);
       one["slot"] = i;
       one["version"] = minder_->version(i);
       one["since_ms"] = slot.began_ms;
--- a/src/keeper/keeper.h
+++ b/src/keeper/keeper.h
@@ -44,7 +44,7 @@
  private:
   struct Slot {
     std::unique_ptr<Child> child;
-    totals::Series series;
+    totals::WindowHistory series;
     std::int64_t began_ms = 0;
     bool stopping = false;
     bool felled = false;  // by this keeper, because it hung or did not come up
--- a/src/keeper/orders.cpp
+++ b/src/keeper/orders.cpp
@@ -24,7 +24,7 @@
 constexpr std::int64_t kLongestTrialMs = 7 * 24 * 3600 * 1000LL;
 
 std::uint64_t natural(const json& from, const char* field) {
-  const std::int64_t value = config::whole(from, field);
+  const std::int64_t value = config::integer(from, field);
   if (value < 0) throw BadInput(std::string(field) + ": is negative");
   return static_cast<std::uint64_t>(value);
 }
@@ -76,8 +76,8 @@
     if (out.from.empty() || out.from.front() != '/') throw BadInput("from: not an absolute path");
   }
   if (from.contains("if_in_force")) out.if_in_force = config::text(from, "if_in_force");
-  out.not_after_ms = config::whole_or(from, "not_after_ms", 0);
-  const std::int64_t trial = config::whole_or(from, "trial_ms", 0);
+  out.not_after_ms = config::integer_or(from, "not_after_ms", 0);
+  const std::int64_t trial = config::integer_or(from, "trial_ms", 0);
   if (trial < 0 || trial > kLongestTrialMs) throw BadInput("trial_ms: out of range");
   if (trial > 0 && out.kind != Kind::use) throw BadInput("trial_ms: only of the order use");
   out.trial = std::chrono::milliseconds(trial);
@@ -111,7 +111,7 @@
     throw BadInput("kept state: is torn");
   const json head = config::parse(std::string_view(text).substr(0, end));
   if (!head.is_object()) throw BadInput("kept state: has no head");
-  if (const std::int64_t format = config::whole(head, "format"); format != kFormat)
+  if (const std::int64_t format = config::integer(head, "format"); format != kFormat)
     throw BadInput("kept state: format " + std::to_string(format) + " is not this program's");
   const std::string body_text = text.substr(end + 1, text.size() - end - 2);
   if (config::text(head, "checksum") != checksum(body_text)) throw BadInput("kept state: is damaged");
@@ -123,7 +123,7 @@
   if (body.contains("order")) out.order = read_order(body["order"]);
   out.outcome = outcome_named(config::text(body, "outcome")).value_or(Outcome::none);
   out.why = config::text(body, "why");
-  out.since_ms = config::whole(body, "since_ms");
+  out.since_ms = config::integer(body, "since_ms");
   out.starts = natural(body, "starts");
   out.ends = natural(body, "ends");
   out.strikes = config::number(body.at("strikes"), "strikes");
--- a/src/keeper/program.cpp
+++ b/src/keeper/program.cpp
@@ -74,7 +74,8 @@
   sigprocmask(SIG_BLOCK, &heeded, nullptr);
   signal(SIGPIPE, SIG_IGN);
   try {
-    log::open(log::Level::info, log_form == "json" ? log::Form::json : log::Form::plain, options.name);
+    log::configure(log::Level::info, log_form == "json" ? log::Format::json : log::Format::plain,
+                   options.name);
     const auto address = net::parse_address(control);
     if (!address) throw config::BadInput("--control: not an address: " + control);
     if (const std::string why = not_private(*address); !why.empty())
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -27,7 +27,7 @@
 
 std::optional<scenario::Scenario> read(const std::string& file) {
   const scenario::Read result = scenario::read_xml_file(file);
-  for (const config::Fault& fault : result.faults) std::cerr << config::text_of(file, fault) << '\n';
+  for (const config::FileError& fault : result.faults) std::cerr << config::format_error(file, fault) << '\n';
   return result.scenario;
 }
 
--- a/src/lab/scale/hollow_receivers.cpp
+++ b/src/lab/scale/hollow_receivers.cpp
@@ -153,10 +153,10 @@
   ReceiversSpec out;
   out.log = config::text(from, "log");
   out.zone = config::text(from, "zone");
-  out.preferred = static_cast<std::size_t>(config::whole(from, "preferred"));
-  out.seed = static_cast<std::uint32_t>(config::whole(from, "seed"));
-  out.applies_after = Span(config::whole(from, "applies_after_us"));
-  out.sample_every = std::max(Span(config::whole(from, "sample_every_us")), kLeastSampling);
+  out.preferred = static_cast<std::size_t>(config::integer(from, "preferred"));
+  out.seed = static_cast<std::uint32_t>(config::integer(from, "seed"));
+  out.applies_after = Span(config::integer(from, "applies_after_us"));
+  out.sample_every = std::max(Span(config::integer(from, "sample_every_us")), kLeastSampling);
   for (const json& name : config::array(from, "names")) out.names.push_back(name.get<std::string>());
   for (const json& node : config::array(from, "nodes")) {
     const auto address = net::parse_address(node.get<std::string>());
--- a/src/list/news.cpp
+++ b/src/list/news.cpp
@@ -36,7 +36,7 @@
   }
 }
 
-Entry entry(const json& from, const config::Carriage& carriage, Span unix_start, int& odd) {
+Entry entry(const json& from, const config::ServiceSettings& settings, Span unix_start, int& odd) {
   Entry out;
   out.row.server = config::text(from, "name");
   if (out.row.server.empty()) throw BadInput("name: empty");
@@ -44,15 +44,15 @@
   if (!address) throw BadInput("address: not an address with a port");
   out.addresses.push_back(*address);
   further_addresses(from, out, odd);
-  const auto zone = std::find(carriage.zones.begin(), carriage.zones.end(), config::text(from, "zone"));
-  if (zone == carriage.zones.end()) throw BadInput("zone: unknown");
-  out.row.zone = static_cast<int>(zone - carriage.zones.begin());
-  const std::int64_t cell = config::whole_or(from, "group", 0);
-  if (cell < 0 || cell >= carriage.cells) throw BadInput("group: out of range");
+  const auto zone = std::find(settings.zones.begin(), settings.zones.end(), config::text(from, "zone"));
+  if (zone == settings.zones.end()) throw BadInput("zone: unknown");
+  out.row.zone = static_cast<int>(zone - settings.zones.begin());
+  const std::int64_t cell = config::integer_or(from, "group", 0);
+  if (cell < 0 || cell >= settings.cells) throw BadInput("group: out of range");
   out.row.cell = static_cast<int>(cell);
   out.row.standing = standing(config::text(from, "status"));
   out.row.size = config::number_or(from, "weight", 1);
-  const std::int64_t since = config::whole_or(from, "since_ms", 0);
+  const std::int64_t since = config::integer_or(from, "since_ms", 0);
   if (since < 0 || since > 1'000'000'000'000'000) throw BadInput("since_ms: out of range");
   if (since != 0) out.row.started = std::chrono::milliseconds(since) - unix_start;
   return out;
@@ -73,15 +73,15 @@
 
 }  // namespace
 
-News read_news(const json& from, const config::Carriage& carriage, Span unix_start) {
+News read_news(const json& from, const config::ServiceSettings& settings, Span unix_start) {
   News out;
-  out.index = config::whole(from, "index");
-  const json& whole = config::need(from, "snapshot");
+  out.index = config::integer(from, "index");
+  const json& whole = config::required(from, "snapshot");
   if (!whole.is_boolean()) throw BadInput("snapshot: not true or false");
   out.whole = whole.get<bool>();
   for (const json& one : config::array(from, "endpoints")) {
     try {
-      out.entries.push_back(entry(one, carriage, unix_start, out.odd_addresses));
+      out.entries.push_back(entry(one, settings, unix_start, out.odd_addresses));
     } catch (const BadInput& wrong) {
       leave_out(one, wrong, out);
     }
--- a/src/list/watch.cpp
+++ b/src/list/watch.cpp
@@ -13,11 +13,11 @@
 
 }  // namespace
 
-Watch::Watch(net::Loop& loop, const config::Commission& commission, Span unix_start, Told told)
+Watch::Watch(net::Loop& loop, const config::GathererConfig& gatherer_config, Span unix_start, Told told)
     : loop_(loop),
-      carriage_(commission.carriage),
-      address_(commission.discovery),
-      host_(commission.discovery_host),
+      settings_(gatherer_config.settings),
+      address_(gatherer_config.discovery),
+      host_(gatherer_config.discovery_host),
       unix_start_(unix_start),
       told_(std::move(told)),
       lines_{Line{{}, {}, {net::HttpReader::Kind::answer, kMostList}, {}},
@@ -114,7 +114,7 @@
   if (message.second != "200") return failed(line, "an answer other than 200");
   News news;
   try {
-    news = read_news(config::parse(message.body), carriage_, unix_start_);
+    news = read_news(config::parse(message.body), settings_, unix_start_);
   } catch (const config::BadInput& wrong) {
     log::event(log::Level::warning, "discovery.bad_list", {{"why", wrong.what()}});
     return failed(line, "the list cannot be read");
@@ -130,7 +130,7 @@
   told_.news(std::move(news));
   if (watching_) {
     whole_ = false;
-    call(line, std::min(carriage_.ask_every, kLongestWait));
+    call(line, std::min(settings_.list_poll_interval, kLongestWait));
   }
 }
 
--- a/src/list/watch.h
+++ b/src/list/watch.h
@@ -24,7 +24,7 @@
     std::function<void(Span most_backoff)> refused;
   };
 
-  Watch(net::Loop& loop, const config::Commission& commission, Span unix_start, Told told);
+  Watch(net::Loop& loop, const config::GathererConfig& gatherer_config, Span unix_start, Told told);
 
   void held(std::int64_t index) { index_ = index; }  // the version of the list that is held
   void ask(bool watching);  // the changes since, and then each as it comes; or the whole list once
@@ -54,7 +54,7 @@
   void hold_spare(std::size_t more = 0);
 
   net::Loop& loop_;
-  const config::Carriage& carriage_;
+  const config::ServiceSettings& settings_;
   net::Address address_;
   std::string host_;
   Span unix_start_;
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -24,7 +24,7 @@
     logger.flush_on(spdlog::level::debug);
   }
   spdlog::logger logger;
-  Form form = Form::plain;
+  Format form = Format::plain;
   std::string name = "marbledyke";
   std::function<void(const std::string&)> tap;
 };
@@ -80,9 +80,9 @@
   return false;
 }
 
-void put_value(std::string& out, const Field::Value& value, Form form) {
+void put_value(std::string& out, const Field::Value& value, Format form) {
   if (const auto* text = std::get_if<std::string_view>(&value)) {
-    if (form == Form::json || needs_quotes(*text)) {
+    if (form == Format::json || needs_quotes(*text)) {
       put_quoted(out, *text);
     } else {
       out += *text;
@@ -96,14 +96,14 @@
   }
 }
 
-std::string line_of(Form form, Level level, std::string_view name, Fields fields, std::uint64_t left_out) {
+std::string line_of(Format form, Level level, std::string_view name, Fields fields, std::uint64_t left_out) {
   State& to = state();
   const auto since = std::chrono::system_clock::now().time_since_epoch();
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(since).count();
   const char* const word = kLevels[static_cast<std::size_t>(level)];
   std::string line;
   line.reserve(160);
-  if (form == Form::json) {
+  if (form == Format::json) {
     line = fmt::format(R"({{"time":{}.{:03},"level":"{}","gatherer":)", ms / 1000, ms % 1000, word);
     put_quoted(line, to.name);
     line += ",\"event\":";
@@ -112,7 +112,7 @@
       line += ',';
       put_quoted(line, field.key);
       line += ':';
-      put_value(line, field.value, Form::json);
+      put_value(line, field.value, Format::json);
     }
     if (left_out > 0) line += fmt::format(",\"left_out\":{}", left_out);
     line += '}';
@@ -122,7 +122,7 @@
       line += ' ';
       line += field.key;
       line += '=';
-      put_value(line, field.value, Form::plain);
+      put_value(line, field.value, Format::plain);
     }
     if (left_out > 0) line += fmt::format(" left_out={}", left_out);
   }
@@ -133,29 +133,29 @@
 
 void put(Level level, std::string_view name, Fields fields, std::uint64_t left_out) {
   State& to = state();
-  if (tapped(level)) to.tap(line_of(Form::json, level, name, fields, left_out));
-  if (!keeps(level)) return;
+  if (tapped(level)) to.tap(line_of(Format::json, level, name, fields, left_out));
+  if (!is_enabled(level)) return;
   to.logger.log(kTheirs[static_cast<std::size_t>(level)], line_of(to.form, level, name, fields, left_out));
 }
 
 }  // namespace
 
-void open(Level least, Form form, std::string_view name) {
+void configure(Level least, Format form, std::string_view name) {
   state().logger.set_level(kTheirs[static_cast<std::size_t>(least)]);
   state().form = form;
   state().name = name;
 }
 
-bool keeps(Level level) { return state().logger.should_log(kTheirs[static_cast<std::size_t>(level)]); }
+bool is_enabled(Level level) { return state().logger.should_log(kTheirs[static_cast<std::size_t>(level)]); }
 
 void event(Level level, std::string_view name, Fields fields) {
-  if (keeps(level) || tapped(level)) put(level, name, fields, 0);
+  if (is_enabled(level) || tapped(level)) put(level, name, fields, 0);
 }
 
-void tap(std::function<void(const std::string&)> told) { state().tap = std::move(told); }
+void set_listener(std::function<void(const std::string&)> told) { state().tap = std::move(told); }
 
-void Throttled::event(Fields fields) {
-  if (!keeps(level_) && !tapped(level_)) return;
+void RateLimitedEvent::write(Fields fields) {
+  if (!is_enabled(level_) && !tapped(level_)) return;
   using std::chrono::steady_clock;
   const std::int64_t second =
       std::chrono::duration_cast<std::chrono::seconds>(steady_clock::now().time_since_epoch()).count();
@@ -175,15 +175,15 @@
 std::uint64_t broken = 0;
 }
 
-bool must_hold(bool holds, std::string_view what) {
+bool check_invariant(bool holds, std::string_view what) {
   if (holds) return true;
   ++broken;
-  static log::Throttled throttled(log::Level::error, "invariant.broken");
-  throttled.event({{"what", what}, {"so_far", broken}});
+  static log::RateLimitedEvent throttled(log::Level::error, "invariant.broken");
+  throttled.write({{"what", what}, {"so_far", broken}});
   assert(false && "an invariant is broken");
   return false;
 }
 
-std::uint64_t broken_invariants() { return broken; }
+std::uint64_t invariant_violations() { return broken; }
 
 }  // namespace marbledyke
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -13,7 +13,7 @@
 namespace marbledyke::log {
 
 enum class Level { debug, info, warning, error };
-enum class Form { plain, json };
+enum class Format { plain, json };
 
 // One key of an event and its value; text is borrowed for the length of the call.
 struct Field {
@@ -38,20 +38,20 @@
 using Fields = std::initializer_list<Field>;
 
 // Before this, events of level warning and above are written as plain text under the name "marbledyke".
-void open(Level least, Form form, std::string_view name);
-bool keeps(Level level);
+void configure(Level least, Format form, std::string_view name);
+bool is_enabled(Level level);
 void event(Level level, std::string_view name, Fields fields = {});
 
 // Whoever is given here is told of each event of level info and above as one line of JSON, whatever the level
 // and the form of what is written. None by default.
-void tap(std::function<void(const std::string& line)> told);
+void set_listener(std::function<void(const std::string& line)> told);
 
 // For what peers can cause as often as they like: one event a second at most, the next one says under
 // `left_out` how many were not written.
-class Throttled {
+class RateLimitedEvent {
  public:
-  Throttled(Level level, std::string_view name) : level_(level), name_(name) {}
-  void event(Fields fields = {});
+  RateLimitedEvent(Level level, std::string_view name) : level_(level), name_(name) {}
+  void write(Fields fields = {});
 
  private:
   Level level_;
@@ -65,7 +65,7 @@
 namespace marbledyke {
 
 // What must hold whatever peers do: asserted in debug builds, counted and logged in release builds.
-bool must_hold(bool holds, std::string_view what);
-std::uint64_t broken_invariants();
+bool check_invariant(bool holds, std::string_view what);
+std::uint64_t invariant_violations();
 
 }  // namespace marbledyke
--- a/src/operator_file/main.cpp
+++ b/src/operator_file/main.cpp
@@ -29,7 +29,7 @@
   bool good = true;
   for (const std::string& file : files) {
     const Result result = read_xml_file(file);
-    for (const Fault& fault : result.faults) std::cout << text_of(file, fault) << '\n';
+    for (const FileError& fault : result.faults) std::cout << format_error(file, fault) << '\n';
     if (result.terms) std::cout << file << ": good\n";
     good = good && result.terms.has_value();
   }
--- a/src/operator_file/terms.cpp
+++ b/src/operator_file/terms.cpp
@@ -12,7 +12,7 @@
 constexpr std::array<std::string_view, 4> kLevels{"debug", "info", "warning", "error"};
 constexpr std::array<const char*, 3> kProofs{"never", "in-doubt", "always"};
 
-Span span(const json& from, const char* key) { return Span(config::whole(from, key)); }
+Span span(const json& from, const char* key) { return Span(config::integer(from, key)); }
 
 json put_rules(const addresses::Rules& rules, bool attempt_stated) {
   json prefer = json::array();
@@ -41,10 +41,10 @@
   rules.race = span(from, "race");
   rules.stagger = span(from, "stagger");
   rules.stagger_least = span(from, "stagger-least");
-  rules.at_once = static_cast<int>(config::whole(from, "at-once"));
+  rules.at_once = static_cast<int>(config::integer(from, "at-once"));
   rules.hold = span(from, "hold");
   rules.hold_most = span(from, "hold-most");
-  rules.trials_at_once = static_cast<int>(config::whole(from, "trials-at-once"));
+  rules.trials_at_once = static_cast<int>(config::integer(from, "trials-at-once"));
   const auto proof = std::find(kProofs.begin(), kProofs.end(), config::text(from, "prove"));
   if (proof == kProofs.end()) throw BadInput("prove: unknown");
   rules.prove = static_cast<addresses::Prove>(proof - kProofs.begin());
@@ -136,11 +136,11 @@
       search::Index made;
       made.name = config::text(index, "name");
       made.title = config::text(index, "title");
-      made.use = static_cast<int>(config::whole(index, "use"));
+      made.use = static_cast<int>(config::integer(index, "use"));
       made.op_type = config::text(index, "op-type");
       made.shards = shards_of(index);
-      made.scan = config::need(index, "scan").get<bool>();
-      made.sort = config::need(index, "sort").get<bool>();
+      made.scan = config::required(index, "scan").get<bool>();
+      made.sort = config::required(index, "sort").get<bool>();
       database.indexes.push_back(std::move(made));
     }
     into.databases.push_back(std::move(database));
@@ -148,7 +148,7 @@
   for (const json& one : config::array(from, "speakers"))
     into.speakers[config::text(one, "server")] = {protocol(one), config::text(one, "database")};
   const json& limits = config::object(from, "limits");
-  const auto size = [&](const char* key) { return static_cast<std::size_t>(config::whole(limits, key)); };
+  const auto size = [&](const char* key) { return static_cast<std::size_t>(config::integer(limits, key)); };
   search::Limits& l = into.limits;
   l.sessions = size("sessions");
   l.sets = size("sets");
@@ -179,7 +179,7 @@
   if (result.terms) {
     const Terms& terms = *result.terms;
     json log = json::object();
-    if (terms.log_form) log["format"] = *terms.log_form == log::Form::json ? "json" : "plain";
+    if (terms.log_form) log["format"] = *terms.log_form == log::Format::json ? "json" : "plain";
     if (terms.log_level) log["level"] = std::string(kLevels[static_cast<std::size_t>(*terms.log_level)]);
     json servers = json::array();
     for (const auto& [name, server] : terms.servers) {
@@ -194,7 +194,7 @@
       out["terms"]["search"] = put_search(terms.search);
   }
   out["faults"] = json::array();
-  for (const Fault& fault : result.faults)
+  for (const FileError& fault : result.faults)
     out["faults"].push_back({{"line", fault.line}, {"element", fault.element}, {"reason", fault.reason}});
   return out.dump(-1, ' ', false, json::error_handler_t::replace);
 }
@@ -203,7 +203,7 @@
   const json from = config::parse(text);
   Result out;
   for (const json& one : config::array(from, "faults"))
-    out.faults.push_back({static_cast<int>(config::whole(one, "line")), config::text(one, "element"),
+    out.faults.push_back({static_cast<int>(config::integer(one, "line")), config::text(one, "element"),
                           config::text(one, "reason")});
   if (!from.contains("terms")) {
     if (out.faults.empty()) throw BadInput("neither terms nor faults");
@@ -213,13 +213,13 @@
   Terms& into = out.terms.emplace();
   const json& log = config::object(terms, "log");
   if (log.contains("format"))
-    into.log_form = config::text(log, "format") == "json" ? log::Form::json : log::Form::plain;
+    into.log_form = config::text(log, "format") == "json" ? log::Format::json : log::Format::plain;
   if (log.contains("level")) into.log_level = level_named(config::text(log, "level"));
   read_rules(config::object(terms, "connecting"), into);
   if (terms.contains("search")) read_search(config::object(terms, "search"), into.search);
   for (const json& one : config::array(terms, "servers")) {
     addresses::Book::Configured& server = into.servers[config::text(one, "name")];
-    server.instead = config::need(one, "instead").get<bool>();
+    server.instead = config::required(one, "instead").get<bool>();
     for (const json& address : config::array(one, "addresses")) {
       const auto read = net::parse_address(address.get_ref<const std::string&>());
       if (!read) throw BadInput("addresses: not an address");
--- a/src/operator_file/terms.h
+++ b/src/operator_file/terms.h
@@ -9,8 +9,8 @@
 #include <vector>
 
 #include "addresses/book.h"
-#include "config/fault.h"
 #include "config/fields.h"
+#include "config/file_error.h"
 #include "log/log.h"
 #include "search/terms.h"
 
@@ -18,10 +18,10 @@
 
 inline constexpr std::size_t kMostResult = 8 * 1024 * 1024;
 
-using config::Fault;
+using config::FileError;
 
 struct Terms {
-  std::optional<log::Form> log_form;
+  std::optional<log::Format> log_form;
   std::optional<log::Level> log_level;
   addresses::Rules connecting;
   bool attempt_stated = false;  // else it is the connect time-out of the platform's terms
@@ -32,7 +32,7 @@
 // The result of reading one file, as it passes between the two programs.
 struct Result {
   std::optional<Terms> terms;  // absent: the faults say why
-  std::vector<Fault> faults;
+  std::vector<FileError> faults;
 };
 std::string put_result(const Result& result);
 // Throws config::BadInput where the text is no result.
--- a/src/operator_file/xml.cpp
+++ b/src/operator_file/xml.cpp
@@ -14,7 +14,7 @@
 
 void log(const Element& at, Terms& into) {
   if (const auto format = at.attribute("format"))
-    into.log_form = *format == "json" ? log::Form::json : log::Form::plain;
+    into.log_form = *format == "json" ? log::Format::json : log::Format::plain;
   if (const auto level = at.attribute("level")) into.log_level = level_named(*level);
 }
 
--- a/src/rollout/conductor.cpp
+++ b/src/rollout/conductor.cpp
@@ -288,10 +288,10 @@
   };
   out.state = state("state");
   out.paused_from = state("paused_from");
-  out.stage = static_cast<int>(config::whole(from, "stage"));
-  out.epoch = static_cast<std::uint64_t>(config::whole(from, "epoch"));
+  out.stage = static_cast<int>(config::integer(from, "stage"));
+  out.epoch = static_cast<std::uint64_t>(config::integer(from, "epoch"));
   out.why = config::text(from, "why");
-  out.since_ms = config::whole(from, "since_ms");
+  out.since_ms = config::integer(from, "since_ms");
   for (const auto& [name, one] : config::object(from, "keepers").items()) {
     const std::string& at = config::text(one, "at");
     const auto found = std::find(std::begin(kAtNames), std::end(kAtNames), at);
--- a/src/rollout/file.h
+++ b/src/rollout/file.h
@@ -5,14 +5,14 @@
 #include <string>
 #include <vector>
 
-#include "config/fault.h"
+#include "config/file_error.h"
 #include "rollout/plan.h"
 
 namespace marbledyke::rollout {
 
 struct Read {
   std::optional<Plan> plan;  // none where there is a fault
-  std::vector<config::Fault> faults;
+  std::vector<config::FileError> faults;
 };
 Read read_plan(const std::string& text);
 Read read_plan_file(const std::string& path);
--- a/src/rollout/judge.cpp
+++ b/src/rollout/judge.cpp
@@ -35,14 +35,14 @@
 
 // ---- sides ----
 
-void Side::add(const totals::Count& c, Span slow_from) {
+void Side::add(const totals::OpTypeCounts& c, Span slow_from) {
   asked += c.taken;
   ended += c.ended() - c.left;  // a client that leaves says nothing of the gatherer
   good += c.in_budget;
   failed += c.failed;
   pushed_back += c.pushed_back;
   answered += c.answered;
-  if (slow_from > 0us) slow += c.latency.above(slow_from);
+  if (slow_from > 0us) slow += c.latency.count_above(slow_from);
   sends += c.sends;
   further += c.further;
 }
@@ -176,14 +176,14 @@
   note(all->second.second, good_before_new_);
 }
 
-void Judge::learn_latencies(const std::string& op_type, const totals::Latencies& latencies) {
+void Judge::learn_latencies(const std::string& op_type, const totals::LatencyHistogram& latencies) {
   if (!began_) latencies_[op_type].merge(latencies);
 }
 
 std::optional<Span> Judge::slow_from(const std::string& op_type) const {
   const auto at = latencies_.find(op_type);
   if (at == latencies_.end() || at->second.count() < kLeastLatencies) return std::nullopt;
-  return at->second.at(0.9);
+  return at->second.quantile(0.9);
 }
 
 void Judge::after(const Block& plain) {
--- a/src/rollout/judge.h
+++ b/src/rollout/judge.h
@@ -52,7 +52,7 @@
   std::uint64_t asked = 0, ended = 0, good = 0, failed = 0, pushed_back = 0, answered = 0, slow = 0,
                 sends = 0, further = 0;
   double cpu = 0;  // seconds; of the side as a whole, so the same in each op type
-  void add(const totals::Count& count, Span slow_from);
+  void add(const totals::OpTypeCounts& count, Span slow_from);
   void merge(const Side& other);
   // Of that measure; none where too little was asked to say.
   std::optional<double> share(Measure measure, int least) const;
@@ -123,7 +123,7 @@
 
   // The slow mark of an op type, once enough is known; none before.
   std::optional<Span> slow_from(const std::string& op_type) const;
-  void learn_latencies(const std::string& op_type, const totals::Latencies& latencies);
+  void learn_latencies(const std::string& op_type, const totals::LatencyHistogram& latencies);
 
   Finding look(bool soak_over) const;
   int compared() const { return static_cast<int>(tests_.size()); }
@@ -163,7 +163,7 @@
   bool began_ = false, had_old_ = false;
   std::map<Key, Base> base_;
   std::map<Key, Test> tests_;
-  std::map<std::string, totals::Latencies> latencies_;
+  std::map<std::string, totals::LatencyHistogram> latencies_;
   std::string at_once_;
   // Of the whole fleet: its good share before, and now by side.
   Base good_before_old_, good_before_new_;
--- a/src/scenario/xml.h
+++ b/src/scenario/xml.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "config/fault.h"
+#include "config/file_error.h"
 #include "scenario/scenario.h"
 
 namespace marbledyke::scenario {
@@ -15,7 +15,7 @@
 
 struct Read {
   std::optional<Scenario> scenario;  // absent: the faults say why
-  std::vector<config::Fault> faults;
+  std::vector<config::FileError> faults;
 };
 Read read_xml(const std::string& text);
 Read read_xml_file(const std::string& path);
--- a/src/search/desk.cpp
+++ b/src/search/desk.cpp
@@ -47,28 +47,28 @@
 
 }  // namespace
 
-Desk::Desk(const Terms& terms, const config::Carriage& carriage, std::uint32_t seed)
-    : terms_(terms), limits_(terms.limits), carriage_(carriage), chance_(seed) {
+Desk::Desk(const Terms& terms, const config::ServiceSettings& settings, std::uint32_t seed)
+    : terms_(terms), limits_(terms.limits), settings_(settings), chance_(seed) {
   const auto resolve = [&](const std::string& where, const std::string& op_type,
                            const std::vector<int>& shards) {
     Place out;
-    const auto at = std::find_if(carriage.op_types.begin(), carriage.op_types.end(),
-                                 [&](const config::OpName& one) { return one.name == op_type; });
-    if (at == carriage.op_types.end())
+    const auto at = std::find_if(settings.op_types.begin(), settings.op_types.end(),
+                                 [&](const config::OpTypeSettings& one) { return one.name == op_type; });
+    if (at == settings.op_types.end())
       throw config::BadInput("search: " + where + ": op type " + op_type +
                              " is none of the platform's settings");
-    if (at->second_step > 0)
+    if (at->second_step_parts > 0)
       throw config::BadInput("search: " + where + ": op type " + op_type +
                              " has a second step, and a search's pages are one");
-    out.op_type = static_cast<int>(at - carriage.op_types.begin());
+    out.op_type = static_cast<int>(at - settings.op_types.begin());
     out.shards = shards;
     if (shards.empty()) {
-      out.shards.resize(static_cast<std::size_t>(carriage.shards));
+      out.shards.resize(static_cast<std::size_t>(settings.shards));
       std::iota(out.shards.begin(), out.shards.end(), 0);
     }
     std::sort(out.shards.begin(), out.shards.end());
     for (const int shard : out.shards) {
-      if (shard < 0 || shard >= carriage.shards)
+      if (shard < 0 || shard >= settings.shards)
         throw config::BadInput("search: " + where + ": there is no shard " + std::to_string(shard));
     }
     return out;
@@ -285,7 +285,7 @@
   out.set = set;
   out.sent_by = when.sent_by;
   out.patience =
-      when.patience ? std::min(*when.patience, carriage_.longest_timeout) : set->database->deadline;
+      when.patience ? std::min(*when.patience, settings_.max_route_timeout) : set->database->deadline;
   out.reply.set = set->name;
   out.reply.database = set->database->name;
   out.reply.hits = set->total;
@@ -338,7 +338,7 @@
   tally_.abandoned += 1;
   // Where its multiget has not been taken yet, it need not be.
   const auto waiting = std::find_if(asks_.begin(), asks_.end(),
-                                    [&](const front::Asked& one) { return one.caller == operation; });
+                                    [&](const front::Request& one) { return one.caller == operation; });
   if (waiting != asks_.end()) {
     asks_.erase(waiting);
   } else {
@@ -351,18 +351,18 @@
 
 // The one place where a multiget is asked for.
 void Desk::ask(Operation operation, Running& running, const PartAsk& part, const std::vector<int>& shards) {
-  front::Asked out;
+  front::Request out;
   out.caller = operation;
   char id[24];
   std::snprintf(id, sizeof id, "%08lx%08lx", static_cast<unsigned long>(chance_() & 0xffffffffUL),
                 static_cast<unsigned long>(operation & 0xffffffffUL));
-  out.ask.id = id;
-  out.ask.op_type = running.set ? running.set->place.op_type : 0;
-  out.sent_by = running.sent_by;
-  out.ask.patience = running.patience;
-  out.ask.text = std::make_shared<const std::string>(text_of(part));
+  out.multiget.id = id;
+  out.multiget.op_type = running.set ? running.set->place.op_type : 0;
+  out.first_byte_at = running.sent_by;
+  out.multiget.client_timeout = running.patience;
+  out.multiget.text = std::make_shared<const std::string>(text_of(part));
   for (const int shard : shards)
-    out.ask.pieces.push_back({shard, 1.0 / static_cast<double>(shards.size()), 0, {}});
+    out.multiget.parts.push_back({shard, 1.0 / static_cast<double>(shards.size()), 0, {}});
   running.shards = static_cast<int>(shards.size());
   running.reply.shards = std::max(running.reply.shards, running.shards);
   tally_.steps += 1;
@@ -415,7 +415,7 @@
   set->database = database;
   set->query = std::move(ask_for.query);
   set->sort = ask_for.sort;
-  set->once = carriage_.op_types[static_cast<std::size_t>(set->place.op_type)].once;
+  set->once = settings_.op_types[static_cast<std::size_t>(set->place.op_type)].non_retriable;
   set->name = ask_for.set;
   set->life = ask_for.life > Span::zero() ? std::min(ask_for.life, limits_.set_life) : limits_.set_life;
   // A set is asked for with records only as far as they may be fetched again.
@@ -499,7 +499,7 @@
   if (index == nullptr || !index->scan) return at_once(session, Trouble::unsupported_index, ask_for.index);
   const Place& its = place(*database, index);
   // Looking through an index must not do what may be done once only.
-  if (carriage_.op_types[static_cast<std::size_t>(its.op_type)].once)
+  if (settings_.op_types[static_cast<std::size_t>(its.op_type)].non_retriable)
     return at_once(session, Trouble::unsupported_index, ask_for.index);
   if (ask_for.count < 1) return at_once(session, Trouble::bad_parameter, "number of terms");
   if (ask_for.position < 0 || ask_for.position > 1)
@@ -550,14 +550,14 @@
   if (at == operations_.end()) return;
   Running& running = at->second;
   const Answers in = read(values);
-  const config::OpName& op = carriage_.op_types[static_cast<std::size_t>(running.set->place.op_type)];
+  const config::OpTypeSettings& op = settings_.op_types[static_cast<std::size_t>(running.set->place.op_type)];
   const auto answered = static_cast<int>(in.by_shard.size());
   // A server that was reached and could not do it counts as one that did not answer.
   if (running.new_set && running.step == Step::page) return paged(operation, running, in);
   const double share = static_cast<double>(answered) / std::max(running.shards, 1);
   if (in.unsupported && answered == 0)
     return fail(operation, running, Trouble::unsupported_index, in.trouble);
-  if (share < op.floor || answered == 0)
+  if (share < op.min_answer_share || answered == 0)
     return fail(operation, running, Trouble::general,
                 in.trouble.empty() ? "too few shards answered" : in.trouble);
   if (running.step != Step::page) running.reply.whole = whole && answered == running.shards;
@@ -772,9 +772,9 @@
   return out;
 }
 
-std::optional<front::Asked> Desk::next_ask() {
+std::optional<front::Request> Desk::next_ask() {
   if (asks_.empty()) return std::nullopt;
-  front::Asked out = std::move(asks_.front());
+  front::Request out = std::move(asks_.front());
   asks_.pop_front();
   return out;
 }
--- a/src/search/desk.h
+++ b/src/search/desk.h
@@ -20,7 +20,7 @@
 #include <utility>
 #include <vector>
 
-#include "config/commission.h"
+#include "config/gatherer_config.h"
 #include "front/front.h"
 #include "search/part.h"
 #include "search/terms.h"
@@ -98,7 +98,7 @@
 class Desk {
  public:
   // Throws config::BadInput where the terms name what the platform's do not know.
-  Desk(const Terms& terms, const config::Carriage& carriage, std::uint32_t seed);
+  Desk(const Terms& terms, const config::ServiceSettings& settings, std::uint32_t seed);
 
   void clock(Span now);
 
@@ -124,7 +124,7 @@
 
   // What is decided, to be pulled until there is none.
   std::optional<Reply> next_reply();
-  std::optional<front::Asked> next_ask();  // its caller is the operation
+  std::optional<front::Request> next_ask();  // its caller is the operation
   std::optional<std::uint64_t> next_left();
   std::optional<Session> next_close();    // has said nothing for too long
   std::optional<Span> next_wake() const;  // when clock() may bring something about
@@ -218,7 +218,7 @@
 
   Terms terms_;
   const Limits limits_;
-  const config::Carriage& carriage_;
+  const config::ServiceSettings& settings_;
   std::mt19937 chance_;
   Span now_{};
   std::map<std::pair<const Database*, const Index*>, Place> places_;
@@ -227,7 +227,7 @@
   std::map<std::pair<Span, std::uint64_t>, SetRef> by_use_;  // all listed sets, the least recently used first
   std::map<Operation, Running> operations_;
   std::deque<Reply> replies_;
-  std::deque<front::Asked> asks_;
+  std::deque<front::Request> asks_;
   std::deque<std::uint64_t> lefts_;
   std::deque<Session> closes_;
   std::set<Session> closing_;
--- a/src/search/desk_front.cpp
+++ b/src/search/desk_front.cpp
@@ -7,9 +7,9 @@
 
 namespace marbledyke::search {
 
-DeskFront::DeskFront(net::Loop& loop, const Terms& terms, const config::Carriage& carriage,
+DeskFront::DeskFront(net::Loop& loop, const Terms& terms, const config::ServiceSettings& settings,
                      std::uint32_t seed)
-    : loop_(loop), carriage_(carriage), desk_(terms, carriage, seed) {
+    : loop_(loop), settings_(settings), desk_(terms, settings, seed) {
   desk_.clock(loop_.now());
 }
 
@@ -55,8 +55,8 @@
   desk_.clock(loop_.now());
   for (bool any = true; any;) {
     any = false;
-    while (auto ask = desk_.next_ask()) asked.push_back(std::move(*ask));
-    while (const auto gone = desk_.next_left()) left.push_back(*gone);
+    while (auto ask = desk_.next_ask()) requests.push_back(std::move(*ask));
+    while (const auto gone = desk_.next_left()) departed.push_back(*gone);
     while (auto reply = desk_.next_reply()) {
       any = true;
       replied(std::move(*reply));
--- a/src/search/desk_front.h
+++ b/src/search/desk_front.h
@@ -13,7 +13,7 @@
 
 class DeskFront : public front::Front {
  public:
-  DeskFront(net::Loop& loop, const Terms& terms, const config::Carriage& carriage, std::uint32_t seed);
+  DeskFront(net::Loop& loop, const Terms& terms, const config::ServiceSettings& settings, std::uint32_t seed);
   ~DeskFront() override;
 
   void answer(std::uint64_t caller, bool whole, const std::vector<front::Value>& values) final;
@@ -28,7 +28,7 @@
   void pump();  // after anything was asked of the desk
 
   net::Loop& loop_;
-  const config::Carriage& carriage_;
+  const config::ServiceSettings& settings_;
   Desk desk_;
 
  private:
--- a/src/servers/servers.cpp
+++ b/src/servers/servers.cpp
@@ -72,11 +72,11 @@
   std::optional<net::Loop::Timer> probe_expiry, idle_expiry;
 };
 
-Servers::Servers(net::Loop& loop, const config::Carriage& carriage, std::uint32_t seed,
+Servers::Servers(net::Loop& loop, const config::ServiceSettings& settings, std::uint32_t seed,
                  std::function<bool()> make_room)
-    : loop_(loop), carriage_(carriage), make_room_(std::move(make_room)), book_({}, seed) {
+    : loop_(loop), settings_(settings), make_room_(std::move(make_room)), book_({}, seed) {
   addresses::Rules rules;
-  rules.attempt = carriage.connect_timeout;
+  rules.attempt = settings.connect_timeout;
   book_.configure(rules, {});
 }
 
@@ -131,7 +131,7 @@
 
 const ListRow* Servers::last_row(std::string_view server) const {
   const auto at = rows_.find(server);
-  if (at == rows_.end() || at->second.zone == kNoZone || at->second.cell >= carriage_.cells) return nullptr;
+  if (at == rows_.end() || at->second.zone == kNoZone || at->second.cell >= settings_.cells) return nullptr;
   return &at->second;
 }
 
@@ -153,7 +153,7 @@
 
 void Servers::call(const std::string& server, std::vector<Errand> errands) {
   bury();
-  const auto most = static_cast<std::size_t>(carriage_.parts_a_call);
+  const auto most = static_cast<std::size_t>(settings_.max_parts_per_call);
   for (std::size_t from = 0; from < errands.size(); from += most) {
     const std::size_t to = std::min(errands.size(), from + most);
     std::vector<Errand> together(std::make_move_iterator(errands.begin() + static_cast<std::ptrdiff_t>(from)),
@@ -205,7 +205,7 @@
   link->probe_written = false;
   link->probe_at = loop_.now();
   const std::uint64_t number = link->number;
-  link->probe_expiry = loop_.at(loop_.now() + carriage_.connect_timeout, [this, number] {
+  link->probe_expiry = loop_.at(loop_.now() + settings_.connect_timeout, [this, number] {
     const auto at = links_.find(number);
     if (at == links_.end()) return;
     at->second->probe_expiry.reset();
@@ -225,7 +225,7 @@
 // about one more connection a server.
 Servers::Link* Servers::link_for(const std::string& server, const std::vector<Errand>& errands) {
   if (!rows_.contains(server)) return nullptr;
-  const auto room = static_cast<std::size_t>(carriage_.parts_a_connection);
+  const auto room = static_cast<std::size_t>(settings_.max_parts_per_connection);
   const auto once = [](const Errand& errand) { return errand.once; };
   const bool careful = std::any_of(errands.begin(), errands.end(), once);
   Link* shared = nullptr;
@@ -314,7 +314,7 @@
   }
   Link* const to = &link;
   const int attempt = step.attempt;
-  const std::size_t most_out = static_cast<std::size_t>(carriage_.parts_a_call) * 66 * 1024 + 4096;
+  const std::size_t most_out = static_cast<std::size_t>(settings_.max_parts_per_call) * 66 * 1024 + 4096;
   Runner runner;
   runner.number = attempt;
   runner.to = step.to;
@@ -526,7 +526,7 @@
       continue;
     }
     end_frame(bytes, place);
-    if (!must_hold(link.stream->out().put(bytes), "a frame fits its ring")) {
+    if (!check_invariant(link.stream->out().put(bytes), "a frame fits its ring")) {
       drop(link, "a frame too large to write");
       return;
     }
@@ -544,7 +544,7 @@
       out.given_at = loop_.now();
       if (!out.over) continue;
       link.pending.push_front({'2', {id}});
-      link.given_up[id] = out.errand.not_past + carriage_.longest_timeout;
+      link.given_up[id] = out.errand.not_past + settings_.max_route_timeout;
       link.outs.erase(id);
     }
   } else if (frame.letter == '4') {
@@ -554,7 +554,7 @@
 }
 
 void Servers::arrived(Link& link) {
-  if (loop_.now() - heard_ > 4 * carriage_.tick && !out_.empty()) silent_until_ = loop_.now();
+  if (loop_.now() - heard_ > 4 * settings_.tick && !out_.empty()) silent_until_ = loop_.now();
   heard_ = loop_.now();
   link.last_heard = loop_.now();
   link.trusted = true;
@@ -581,13 +581,13 @@
 void Servers::expect_more(Link& link) {
   if (std::exchange(link.reading_on, true)) return;
   const std::uint64_t number = link.number;
-  loop_.at(loop_.now() + carriage_.connect_timeout, [this, number] {
+  loop_.at(loop_.now() + settings_.connect_timeout, [this, number] {
     const auto at = links_.find(number);
     if (at == links_.end()) return;
     Link& late = *at->second;
     late.reading_on = false;
     if (!late.reader.begun()) return;
-    if (loop_.now() < late.last_heard + carriage_.connect_timeout) return expect_more(late);
+    if (loop_.now() < late.last_heard + settings_.connect_timeout) return expect_more(late);
     tally_.odd_frames += 1;
     drop(late, "a frame that is not gone on with");
   });
@@ -595,7 +595,7 @@
 
 void Servers::heard(Link& link, Frame& frame) {
   if (frame.letter == '5') {
-    auto answer = read_answer(frame, carriage_.report_fields);
+    auto answer = read_answer(frame, settings_.report_fields);
     if (!answer) {
       tally_.odd_frames += 1;
       return drop(link, "an answer that cannot be read");
@@ -619,7 +619,7 @@
     if (frame.rest == "E") {
       end_probe(link, Fate::app_error);
     } else {
-      end_probe(link, Fate::returned, read_report(frame.rest, carriage_.report_fields));
+      end_probe(link, Fate::returned, read_report(frame.rest, settings_.report_fields));
     }
     rest(link);
   } else if (frame.letter == 'X') {
@@ -675,7 +675,7 @@
     end(out.errand, fate);
   } else {
     doubt(link, out.given_at);
-    link.given_up[id] = out.errand.not_past + carriage_.longest_timeout;
+    link.given_up[id] = out.errand.not_past + settings_.max_route_timeout;
     settle(link, id, fate);
     link.pending.push_back({'2', {id}});
     pump(link);
@@ -688,7 +688,7 @@
 // machine by not coming up: proof that they never ran, without which non-retriable parts are lost. It is
 // trusted again when it speaks. Harm: a server that is only slow gets a few more connections.
 void Servers::doubt(Link& link, Span since) {
-  if (link.last_heard > since || loop_.now() - since < carriage_.connect_timeout) return;
+  if (link.last_heard > since || loop_.now() - since < settings_.connect_timeout) return;
   if (std::exchange(link.trusted, false) && !link.answered) {
     book_.failed(link.server, link.address, addresses::End::silent, loop_.now());
     plan_trials();
@@ -716,7 +716,8 @@
   if (!wanted(link)) return drop(link, link.trusted ? "its server takes nothing new" : "it kept silent");
   if (link.idle_expiry) return;
   const std::uint64_t number = link.number;
-  const Span allowed = std::max(carriage_.idle - carriage_.connect_timeout, carriage_.idle / 2);
+  const Span allowed =
+      std::max(settings_.idle_timeout - settings_.connect_timeout, settings_.idle_timeout / 2);
   link.idle_expiry = loop_.at(link.last_used + allowed, [this, number, allowed] {
     const auto at = links_.find(number);
     if (at == links_.end()) return;
--- a/src/servers/servers.h
+++ b/src/servers/servers.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "addresses/book.h"
-#include "config/commission.h"
+#include "config/gatherer_config.h"
 #include "list/news.h"
 #include "net/loop.h"
 #include "net/socket.h"
@@ -60,7 +60,7 @@
 class Servers {
  public:
   // make_room is asked for a descriptor where none is left.
-  Servers(net::Loop& loop, const config::Carriage& carriage, std::uint32_t seed,
+  Servers(net::Loop& loop, const config::ServiceSettings& settings, std::uint32_t seed,
           std::function<bool()> make_room);
   ~Servers();
 
@@ -130,7 +130,7 @@
   void bury();
 
   net::Loop& loop_;
-  const config::Carriage& carriage_;
+  const config::ServiceSettings& settings_;
   std::function<bool()> make_room_;
   addresses::Book book_;
   std::map<std::string, ListRow, std::less<>> rows_;      // the servers listed, up or draining
--- a/src/sru/front.cpp
+++ b/src/sru/front.cpp
@@ -41,15 +41,15 @@
   explicit Caller(std::size_t most_body) : reader(net::HttpReader::Kind::request, most_body) {}
 };
 
-Front::Front(net::Loop& loop, const search::Terms& terms, const config::Carriage& carriage,
+Front::Front(net::Loop& loop, const search::Terms& terms, const config::ServiceSettings& settings,
              const net::Address& listen, std::uint32_t seed, std::size_t most)
-    : DeskFront(loop, shared(terms), carriage, seed),
+    : DeskFront(loop, shared(terms), settings, seed),
       listen_(listen),
       most_(most),
       listener_(std::make_unique<net::Listener>(
           loop, listen,
-          net::Listener::Told{[this] { return callers_.size() < most_ || make_room(); },
-                              [this] { return make_room(); },
+          net::Listener::Told{[this] { return callers_.size() < most_ || release_connection(); },
+                              [this] { return release_connection(); },
                               [this](net::Descriptor fd) { came(std::move(fd)); }})) {
   sweep();
 }
@@ -97,8 +97,8 @@
       tally_.unreadable += 1;
       caller.in_hand = true;
       caller.stays = false;
-      static log::Throttled throttled(log::Level::info, "sru.unreadable");
-      throttled.event({{"status", caller.reader.complaint()}});
+      static log::RateLimitedEvent throttled(log::Level::info, "sru.unreadable");
+      throttled.write({{"status", caller.reader.complaint()}});
       return say(caller, caller.reader.complaint(), "the request cannot be read\n");
     }
     if (caller.reader.state() == net::HttpReader::State::done) return request(caller);
@@ -122,8 +122,8 @@
   if (its.wrong.what == Trouble::none && database == nullptr)
     its.wrong = {Trouble::unknown_database, its.database};
   if (its.wrong.what != Trouble::none) {
-    static log::Throttled throttled(log::Level::info, "sru.bad_request");
-    throttled.event({{"diagnostic", number_of(its.wrong.what)}, {"why", its.wrong.detail}});
+    static log::RateLimitedEvent throttled(log::Level::info, "sru.bad_request");
+    throttled.write({{"diagnostic", number_of(its.wrong.what)}, {"why", its.wrong.detail}});
     return say(caller, 200, diagnostic_body(its, its.wrong));
   }
   if (its.verb == Verb::explain) {
@@ -181,7 +181,7 @@
 }
 
 void Front::say(Caller& caller, int status, const std::string& body, Span come_back) {
-  if (!must_hold(caller.in_hand, "an SRU answer belongs to a request in hand")) return;
+  if (!check_invariant(caller.in_hand, "an SRU answer belongs to a request in hand")) return;
   caller.in_hand = false;
   caller.answering = true;
   caller.since = loop_.now();
@@ -239,8 +239,8 @@
   std::vector<Caller*> over, unended;
   for (const auto& [number, caller] : callers_) {
     if (caller->in_hand) continue;
-    if (caller->parting          ? now >= caller->since + carriage_.connect_timeout
-        : caller->answering      ? now >= caller->since + carriage_.longest_timeout
+    if (caller->parting          ? now >= caller->since + settings_.connect_timeout
+        : caller->answering      ? now >= caller->since + settings_.max_route_timeout
         : caller->reader.begun() ? false
                                  : now >= caller->since + (caller->spoken ? kIdle : kSaysNothing)) {
       tally_.silent += caller->spoken ? 0 : 1;
@@ -258,7 +258,7 @@
   swept_ = loop_.at(now + kSweep, [this] { sweep(); });
 }
 
-bool Front::make_room() {
+bool Front::release_connection() {
   Caller* best = nullptr;
   const auto spared = [](const Caller& caller) {
     return std::make_pair(caller.parting          ? 0
@@ -277,9 +277,9 @@
   return true;
 }
 
-void Front::leave() { leaving_ = true; }
+void Front::announce_stop() { leaving_ = true; }
 
-void Front::part_with_all() { parting_ = true; }
+void Front::close_after_answers() { parting_ = true; }
 
 void Front::stop_accepting() {
   if (listener_) listener_->stop();
@@ -294,9 +294,9 @@
   for (Caller* caller : idle) close(*caller);
 }
 
-void Front::bury() { graves_.clear(); }
+void Front::destroy_closed() { graves_.clear(); }
 
-void Front::report() const {
+void Front::log_totals() const {
   log::event(log::Level::info, "sru.totals",
              {{"connections", size()},
               {"accepted", tally_.accepted},
--- a/src/sru/front.h
+++ b/src/sru/front.h
@@ -18,20 +18,20 @@
  public:
   // Throws std::system_error where the address cannot be listened on, config::BadInput where the terms do not
   // fit the platform's. `most` connections are held at a time.
-  Front(net::Loop& loop, const search::Terms& terms, const config::Carriage& carriage,
+  Front(net::Loop& loop, const search::Terms& terms, const config::ServiceSettings& settings,
         const net::Address& listen, std::uint32_t seed, std::size_t most);
   ~Front() override;
 
-  void leave() override;
+  void announce_stop() override;
   void stop_accepting() override;
-  void part_with_all() override;
+  void close_after_answers() override;
   void close_idle(Span since) override;
-  bool make_room() override;
+  bool release_connection() override;
   bool empty() const override { return callers_.empty(); }
   std::size_t size() const override { return callers_.size(); }
-  void bury() override;
+  void destroy_closed() override;
 
-  void report() const override;
+  void log_totals() const override;
 
   struct Tally {
     std::uint64_t accepted = 0, requests = 0, unreadable = 0, silent = 0, evicted = 0;
--- a/src/standins/search_server.cpp
+++ b/src/standins/search_server.cpp
@@ -18,12 +18,12 @@
 SearchServer::SearchServer(net::Loop& loop, search::Protocol protocol, const net::Address& address,
                            const Catalogue& catalogue, const std::string& prefix)
     : loop_(loop), protocol_(protocol), address_(address), catalogue_(catalogue) {
-  config::OpName op;
+  config::OpTypeSettings op;
   op.name = "look";
-  carriage_.op_types.push_back(op);
-  carriage_.longest_timeout = carriage_.longest_budget = 60s;
-  carriage_.connect_timeout = 250ms;
-  carriage_.shards = catalogue.shards();
+  settings_.op_types.push_back(op);
+  settings_.max_route_timeout = settings_.max_latency_budget = 60s;
+  settings_.connect_timeout = 250ms;
+  settings_.shards = catalogue.shards();
   terms_.limits.sets = 1000;
   // A page is of the search that was run: with everything fetched at once, what is run is searches only.
   terms_.limits.records = terms_.limits.ahead = 10'000;
@@ -51,9 +51,9 @@
 
 void SearchServer::listen() {
   if (protocol_ == search::Protocol::sru) {
-    front_ = std::make_unique<sru::Front>(loop_, terms_, carriage_, address_, 1, 200);
+    front_ = std::make_unique<sru::Front>(loop_, terms_, settings_, address_, 1, 200);
   } else {
-    front_ = std::make_unique<z3950::Front>(loop_, terms_, carriage_, address_, 1, 200);
+    front_ = std::make_unique<z3950::Front>(loop_, terms_, settings_, address_, 1, 200);
   }
 }
 
@@ -67,15 +67,15 @@
     listen();
   }
   // As at a planned stop: each connection is told, and those that come later as well.
-  if (manner == Manner::leaves) front_->part_with_all();
+  if (manner == Manner::leaves) front_->close_after_answers();
 }
 
 void SearchServer::turn() {
   if (!front_) return;
   bool breaks = false;
-  for (const front::Asked& asked : std::exchange(front_->asked, {})) {
-    const auto ask = search::read_part_ask(*asked.ask.text);
-    const int shard = asked.ask.pieces.front().shard;
+  for (const front::Request& asked : std::exchange(front_->requests, {})) {
+    const auto ask = search::read_part_ask(*asked.multiget.text);
+    const int shard = asked.multiget.parts.front().shard;
     if (manner_ == Manner::turns_away) {
       front_->refuse(asked.caller, front::Refusal::pushed_back, 100ms);
       continue;
@@ -90,8 +90,8 @@
     const std::string value = search::text_of(catalogue_.answer(*ask, shard));
     front_->answer(asked.caller, true, {{shard, value}});
   }
-  front_->left.clear();
-  front_->bury();
+  front_->departed.clear();
+  front_->destroy_closed();
   if (!breaks) return;
   front_.reset();
   listen();
--- a/src/standins/search_server.h
+++ b/src/standins/search_server.h
@@ -7,7 +7,7 @@
 #include <memory>
 #include <string>
 
-#include "config/commission.h"
+#include "config/gatherer_config.h"
 #include "net/loop.h"
 #include "search/desk_front.h"
 #include "standins/catalogue.h"
@@ -46,7 +46,7 @@
   search::Protocol protocol_;
   net::Address address_;
   const Catalogue& catalogue_;
-  config::Carriage carriage_;
+  config::ServiceSettings settings_;
   search::Terms terms_;
   std::unique_ptr<search::DeskFront> front_;
   Manner manner_ = Manner::answers;
--- a/src/totals/totals.cpp
+++ b/src/totals/totals.cpp
@@ -18,41 +18,41 @@
 constexpr double kLeast = 50, kMost = 150e6;  // us
 
 std::uint64_t count_of(const nlohmann::json& from, const char* field) {
-  const std::int64_t value = config::whole_or(from, field, 0);
+  const std::int64_t value = config::integer_or(from, field, 0);
   if (value < 0) throw config::BadInput(std::string(field) + ": is negative");
   return static_cast<std::uint64_t>(value);
 }
 
 }  // namespace
 
-struct Latencies::Held {
+struct LatencyHistogram::Held {
   decltype(bh::make_histogram_with(Storage(), Axis(kBuckets, kLeast, kMost))) of =
       bh::make_histogram_with(Storage(), Axis(kBuckets, kLeast, kMost));
 };
 
-Latencies::Latencies() = default;
-Latencies::~Latencies() = default;
-Latencies::Latencies(const Latencies& other)
+LatencyHistogram::LatencyHistogram() = default;
+LatencyHistogram::~LatencyHistogram() = default;
+LatencyHistogram::LatencyHistogram(const LatencyHistogram& other)
     : held_(other.held_ ? std::make_unique<Held>(*other.held_) : nullptr) {}
-Latencies& Latencies::operator=(const Latencies& other) {
+LatencyHistogram& LatencyHistogram::operator=(const LatencyHistogram& other) {
   if (this != &other) held_ = other.held_ ? std::make_unique<Held>(*other.held_) : nullptr;
   return *this;
 }
-Latencies::Latencies(Latencies&&) noexcept = default;
-Latencies& Latencies::operator=(Latencies&&) noexcept = default;
+LatencyHistogram::LatencyHistogram(LatencyHistogram&&) noexcept = default;
+LatencyHistogram& LatencyHistogram::operator=(LatencyHistogram&&) noexcept = default;
 
-void Latencies::add(Span value) {
+void LatencyHistogram::add(Span value) {
   if (!held_) held_ = std::make_unique<Held>();
   held_->of(static_cast<double>(std::max<std::int64_t>(value.count(), 1)));
 }
 
-void Latencies::merge(const Latencies& other) {
+void LatencyHistogram::merge(const LatencyHistogram& other) {
   if (!other.held_) return;
   if (!held_) held_ = std::make_unique<Held>();
   held_->of += other.held_->of;
 }
 
-std::uint64_t Latencies::count() const {
+std::uint64_t LatencyHistogram::count() const {
   std::uint64_t out = 0;
   if (held_) {
     for (int i = -1; i <= kBuckets; ++i) out += held_->of.at(i);
@@ -60,7 +60,7 @@
   return out;
 }
 
-Span Latencies::at(double share) const {
+Span LatencyHistogram::quantile(double share) const {
   const std::uint64_t all = count();
   if (all == 0) return Span{};
   const auto wanted = std::clamp<std::uint64_t>(
@@ -76,7 +76,7 @@
   return Span{};
 }
 
-std::uint64_t Latencies::above(Span value) const {
+std::uint64_t LatencyHistogram::count_above(Span value) const {
   std::uint64_t out = 0;
   if (!held_) return out;
   const int from = held_->of.axis().index(static_cast<double>(std::max<std::int64_t>(value.count(), 1)));
@@ -84,7 +84,7 @@
   return out;
 }
 
-nlohmann::json Latencies::put() const {
+nlohmann::json LatencyHistogram::to_json() const {
   nlohmann::json out = nlohmann::json::array();
   if (!held_) return out;
   for (int i = -1; i <= kBuckets; ++i) {
@@ -93,8 +93,8 @@
   return out;
 }
 
-Latencies Latencies::read(const nlohmann::json& from) {
-  Latencies out;
+LatencyHistogram LatencyHistogram::from_json(const nlohmann::json& from) {
+  LatencyHistogram out;
   if (!from.is_array() || from.size() > kBuckets + 2)
     throw config::BadInput("latency: not a list of buckets");
   for (const nlohmann::json& pair : from) {
@@ -108,9 +108,11 @@
   return out;
 }
 
-bool Latencies::operator==(const Latencies& other) const { return put() == other.put(); }
+bool LatencyHistogram::operator==(const LatencyHistogram& other) const {
+  return to_json() == other.to_json();
+}
 
-void Count::merge(const Count& other) {
+void OpTypeCounts::merge(const OpTypeCounts& other) {
   taken += other.taken;
   answered += other.answered;
   in_budget += other.in_budget;
@@ -124,8 +126,8 @@
   importance = other.importance;
 }
 
-Count Window::all() const {
-  Count out;
+OpTypeCounts Window::total() const {
+  OpTypeCounts out;
   for (const auto& [name, count] : by_op_type) out.merge(count);
   out.importance = 1;
   return out;
@@ -139,7 +141,7 @@
   in_hand += other.in_hand;
 }
 
-nlohmann::json put(const Count& c) {
+nlohmann::json to_json(const OpTypeCounts& c) {
   return {{"taken", c.taken},
           {"answered", c.answered},
           {"in_budget", c.in_budget},
@@ -150,12 +152,12 @@
           {"sends", c.sends},
           {"further", c.further},
           {"importance", c.importance},
-          {"latency", c.latency.put()}};
+          {"latency", c.latency.to_json()}};
 }
 
-nlohmann::json put(const Window& w) {
+nlohmann::json to_json(const Window& w) {
   nlohmann::json ops = nlohmann::json::object();
-  for (const auto& [name, count] : w.by_op_type) ops[name] = put(count);
+  for (const auto& [name, count] : w.by_op_type) ops[name] = to_json(count);
   return {{"start_ms", w.start_ms},
           {"op_types", std::move(ops)},
           {"broken_invariants", w.broken_invariants},
@@ -164,11 +166,11 @@
           {"in_hand", w.in_hand}};
 }
 
-Window read_window(const nlohmann::json& from) {
+Window parse_window(const nlohmann::json& from) {
   Window out;
-  out.start_ms = config::whole(from, "start_ms");
+  out.start_ms = config::integer(from, "start_ms");
   for (const auto& [name, one] : config::object(from, "op_types").items()) {
-    Count& c = out.by_op_type[name];
+    OpTypeCounts& c = out.by_op_type[name];
     c.taken = count_of(one, "taken");
     c.answered = count_of(one, "answered");
     c.in_budget = count_of(one, "in_budget");
@@ -179,7 +181,7 @@
     c.sends = count_of(one, "sends");
     c.further = count_of(one, "further");
     c.importance = config::number_or(one, "importance", 1);
-    c.latency = Latencies::read(config::array(one, "latency"));
+    c.latency = LatencyHistogram::from_json(config::array(one, "latency"));
   }
   out.broken_invariants = count_of(from, "broken_invariants");
   out.not_connected = count_of(from, "not_connected");
@@ -188,7 +190,7 @@
   return out;
 }
 
-void Series::add(Window window) {
+void WindowHistory::add(Window window) {
   const std::int64_t at = window.start_ms;
   windows_.erase(windows_.lower_bound(at), windows_.end());
   for (const auto& [name, count] : window.by_op_type) sum_.by_op_type[name].merge(count);
@@ -202,7 +204,7 @@
   if (windows_.size() > kKept) windows_.erase(windows_.begin());
 }
 
-Window Series::merged(std::int64_t from_ms, std::int64_t until_ms) const {
+Window WindowHistory::merged(std::int64_t from_ms, std::int64_t until_ms) const {
   Window out;
   out.start_ms = from_ms;
   for (auto at = windows_.lower_bound(from_ms); at != windows_.end() && at->first < until_ms; ++at) {
--- a/src/wirehost/main.cpp
+++ b/src/wirehost/main.cpp
@@ -19,12 +19,12 @@
 using marbledyke::Standing;
 using marbledyke::config::BadInput;
 using marbledyke::config::flatten;
+using marbledyke::config::integer;
+using marbledyke::config::integer_or;
 using marbledyke::config::json;
-using marbledyke::config::need;
 using marbledyke::config::number;
+using marbledyke::config::required;
 using marbledyke::config::text;
-using marbledyke::config::whole;
-using marbledyke::config::whole_or;
 
 Rid rid(const json& from) {
   const std::string& id = text(from, "request-id");
@@ -76,8 +76,8 @@
 class Host {
  public:
   json turn(const json& batch) {
-    now_ = whole(batch, "sim-time");
-    const json& msgs = need(batch, "msgs");
+    now_ = integer(batch, "sim-time");
+    const json& msgs = required(batch, "msgs");
     if (!msgs.is_array()) throw BadInput("msgs: not an array");
     touched_.clear();
     for (const json& msg : msgs) hear(msg);
@@ -95,13 +95,13 @@
   void hear(const json& msg) {
     const std::string& type = text(msg, "type");
     if (type == "SnapshotRows") {
-      const json& records = need(msg, "records");
+      const json& records = required(msg, "records");
       if (!records.is_array()) throw BadInput("records: not an array");
-      sheets_[whole(msg, "sheet")] = records;
+      sheets_[integer(msg, "sheet")] = records;
       return;
     }
     if (!msg.contains("gatherer")) return;  // an event of a kind not known here
-    const std::int64_t who = whole(msg, "gatherer");
+    const std::int64_t who = integer(msg, "gatherer");
     if (type == "Create") {
       create(who, msg);
       return;
@@ -125,11 +125,11 @@
     } else if (type == "Arrival") {
       arrival(msg, to);
     } else if (type == "Finished") {
-      to.choice.send_ended(rid(msg), static_cast<int>(whole(msg, "try")), fate(text(msg, "rc")),
-                           Span(whole_or(msg, "time-taken", 0)), load(msg));
+      to.choice.send_ended(rid(msg), static_cast<int>(integer(msg, "try")), fate(text(msg, "rc")),
+                           Span(integer_or(msg, "time-taken", 0)), load(msg));
     } else if (type == "Echo") {
-      to.choice.probe_ended(text(msg, "server"), fate(text(msg, "rc")), Span(whole_or(msg, "time-taken", 0)),
-                            load(msg));
+      to.choice.probe_ended(text(msg, "server"), fate(text(msg, "rc")),
+                            Span(integer_or(msg, "time-taken", 0)), load(msg));
     } else if (type == "Aborted") {
       to.choice.client_left(rid(msg));
     }
@@ -137,10 +137,10 @@
 
   void create(std::int64_t who, const json& msg) {
     marbledyke::Terms terms;
-    const json& params = need(msg, "params");
+    const json& params = required(msg, "params");
     if (!params.is_object()) throw BadInput("params: not an object");
     flatten(params, "", terms);
-    const json& seed = need(msg, "rng-seed");
+    const json& seed = required(msg, "rng-seed");
     if (!seed.is_number_integer()) throw BadInput("rng-seed: not a whole number");
     instances_.erase(who);
     const auto mixed = seed.get<std::uint64_t>();
@@ -164,17 +164,17 @@
     }
     if (kind != "changes" && kind != "all" && kind != "remembered")
       throw BadInput("kind: unknown value " + kind);
-    const auto sheet = sheets_.find(whole(msg, "sheet"));
+    const auto sheet = sheets_.find(integer(msg, "sheet"));
     if (sheet == sheets_.end()) throw BadInput("sheet: none of that number");
     to.choice.list_opens(kind != "changes", kind == "remembered");
     for (const json& entry : sheet->second) {
       marbledyke::ListRow row;
       row.server = text(entry, "server");
-      row.zone = static_cast<int>(whole_or(entry, "hall", 0));
-      row.cell = static_cast<int>(whole_or(entry, "place", 0));
+      row.zone = static_cast<int>(integer_or(entry, "hall", 0));
+      row.cell = static_cast<int>(integer_or(entry, "place", 0));
       row.standing = standing(text(entry, "readiness"));
       if (entry.contains("power-hint")) row.size = number(entry["power-hint"], "power-hint");
-      if (const std::int64_t launched = whole_or(entry, "launched", 0); launched != 0)
+      if (const std::int64_t launched = integer_or(entry, "launched", 0); launched != 0)
         row.started = to.span(launched);
       to.choice.list_row(row);
     }
@@ -182,25 +182,25 @@
   }
 
   void arrival(const json& msg, Instance& to) {
-    const double slice = number(need(msg, "slice"), "slice");
+    const double slice = number(required(msg, "slice"), "slice");
     if (slice < 0) {
       marbledyke::MultigetAsk ask;
       ask.id = rid(msg);
-      ask.number = number(need(msg, "query-no"), "query-no");
-      ask.op_type = static_cast<int>(whole_or(msg, "profile", 0));
-      ask.customer = static_cast<int>(whole_or(msg, "user-group", 0));
-      ask.parts = static_cast<int>(number(need(msg, "heft"), "heft"));
+      ask.number = number(required(msg, "query-no"), "query-no");
+      ask.op_type = static_cast<int>(integer_or(msg, "profile", 0));
+      ask.customer = static_cast<int>(integer_or(msg, "user-group", 0));
+      ask.parts = static_cast<int>(number(required(msg, "heft"), "heft"));
       ask.repeated = msg.contains("is-retry") && msg["is-retry"] == true;
-      ask.client_leaves = to.span(whole(msg, "drop-dead"));
+      ask.client_leaves = to.span(integer(msg, "drop-dead"));
       to.choice.multiget_taken(ask);
     } else {
       marbledyke::PartAsk ask;
       ask.id = rid(msg);
-      ask.multiget = number(need(msg, "query-no"), "query-no");
+      ask.multiget = number(required(msg, "query-no"), "query-no");
       ask.shard = static_cast<int>(slice);
-      ask.weight = number(need(msg, "heft"), "heft");
-      ask.key = static_cast<std::uint64_t>(whole_or(msg, "affinity", 0));
-      ask.hint = Span(whole_or(msg, "cost-guess", 0));
+      ask.weight = number(required(msg, "heft"), "heft");
+      ask.key = static_cast<std::uint64_t>(integer_or(msg, "affinity", 0));
+      ask.hint = Span(integer_or(msg, "cost-guess", 0));
       to.choice.part_taken(ask);
     }
   }
@@ -265,7 +265,7 @@
     if (line.empty()) continue;
     try {
       const json batch = json::parse(line);
-      const std::int64_t frame = whole(batch, "frame");
+      const std::int64_t frame = integer(batch, "frame");
       name = std::to_string(frame);
       const json output = host.turn(batch);
       std::cout << json{{"frame", frame}, {"output", output}}.dump() << '\n' << std::flush;
--- a/src/xml/document.cpp
+++ b/src/xml/document.cpp
@@ -50,9 +50,9 @@
 }
 
 void took_fault(void* to, xmlError* error) {
-  auto& faults = *static_cast<std::vector<Fault>*>(to);
+  auto& faults = *static_cast<std::vector<FileError>*>(to);
   if (error == nullptr || faults.size() >= kMostFaults) return;
-  Fault fault;
+  FileError fault;
   fault.line = error->line;
   const auto* const node = static_cast<const xmlNode*>(error->node);
   if (node != nullptr && node->name != nullptr) fault.element = reinterpret_cast<const char*>(node->name);
@@ -66,7 +66,7 @@
 
 const xmlNode* node_of(const void* node) { return static_cast<const xmlNode*>(node); }
 
-bool keeps_schema(xmlDoc* document, const char* text, std::vector<Fault>& faults) {
+bool keeps_schema(xmlDoc* document, const char* text, std::vector<FileError>& faults) {
   const SchemaParser parser(xmlSchemaNewMemParserCtxt(text, static_cast<int>(std::strlen(text))));
   xmlSchemaSetParserStructuredErrors(parser.get(), took_fault, &faults);
   const Schema schema(xmlSchemaParse(parser.get()));
@@ -127,12 +127,12 @@
 Element Document::root() const { return Element(xmlDocGetRootElement(held_->document)); }
 
 std::optional<Document> Document::read(const std::string& text, const char* schema, const char* name_space,
-                                       std::vector<Fault>& faults) {
+                                       std::vector<FileError>& faults) {
   if (text.size() > kMostFile) {
     faults.push_back({0, "", "larger than " + std::to_string(kMostFile / 1024) + " KiB"});
     return std::nullopt;
   }
-  std::vector<Fault> found;
+  std::vector<FileError> found;
   const Parser parser(xmlNewParserCtxt());
   xmlSetStructuredErrorFunc(&found, took_fault);
   auto held = std::make_unique<Held>();
@@ -158,7 +158,7 @@
   return Document(std::move(held));
 }
 
-std::optional<std::string> read_file(const std::string& path, std::vector<Fault>& faults) {
+std::optional<std::string> read_file(const std::string& path, std::vector<FileError>& faults) {
   const auto refused = [&](const std::string& why) {
     faults.push_back({0, "", why});
     return std::nullopt;
@@ -186,7 +186,7 @@
 }
 
 void Reader::fault(const Element& at, std::string reason) {
-  Fault fault{at.line(), at.name(), std::move(reason)};
+  FileError fault{at.line(), at.name(), std::move(reason)};
   for (std::size_t i = 0; i < by_schema_; ++i) {
     if (faults_[i].line == fault.line && faults_[i].element == fault.element) return;
   }
@@ -234,7 +234,7 @@
 
 void Reader::sort() {
   std::stable_sort(faults_.begin(), faults_.end(),
-                   [](const Fault& a, const Fault& b) { return a.line < b.line; });
+                   [](const FileError& a, const FileError& b) { return a.line < b.line; });
 }
 
 std::string text_of(Span span) {
--- a/src/xml/document.h
+++ b/src/xml/document.h
@@ -9,12 +9,12 @@
 #include <string_view>
 #include <vector>
 
-#include "config/fault.h"
+#include "config/file_error.h"
 #include "model/plain.h"
 
 namespace marbledyke::xml {
 
-using config::Fault;
+using config::FileError;
 
 inline constexpr std::size_t kMostFile = 1024 * 1024;
 
@@ -38,7 +38,7 @@
   // if its root is of that namespace, so that what the schema cannot say may be looked at as well. Document
   // types, and with them entities and external references, are refused, as is what is over kMostFile.
   static std::optional<Document> read(const std::string& text, const char* schema, const char* name_space,
-                                      std::vector<Fault>& faults);
+                                      std::vector<FileError>& faults);
   Element root() const;
   ~Document();
   Document(Document&&) noexcept;
@@ -51,12 +51,12 @@
 };
 
 // The text of a regular file; where there is none, a fault and nothing.
-std::optional<std::string> read_file(const std::string& path, std::vector<Fault>& faults);
+std::optional<std::string> read_file(const std::string& path, std::vector<FileError>& faults);
 
 // Reads values from elements and adds what is wrong with them; what the schema has found is not said again.
 class Reader {
  public:
-  explicit Reader(std::vector<Fault>& faults) : faults_(faults), by_schema_(faults.size()) {}
+  explicit Reader(std::vector<FileError>& faults) : faults_(faults), by_schema_(faults.size()) {}
 
   void fault(const Element& at, std::string reason);
   // Each leaves `into` as it was where the attribute is absent, or out of range, which is a fault.
@@ -69,7 +69,7 @@
   void sort();
 
  private:
-  std::vector<Fault>& faults_;
+  std::vector<FileError>& faults_;
   std::size_t by_schema_;
 };
 
--- a/src/z3950/front.cpp
+++ b/src/z3950/front.cpp
@@ -178,14 +178,14 @@
   explicit Association(std::size_t most) : scanner(most, kDeepest) {}
 };
 
-Front::Front(net::Loop& loop, const search::Terms& terms, const config::Carriage& carriage,
+Front::Front(net::Loop& loop, const search::Terms& terms, const config::ServiceSettings& settings,
              const net::Address& listen, std::uint32_t seed, std::size_t most)
-    : DeskFront(loop, terms, carriage, seed),
+    : DeskFront(loop, terms, settings, seed),
       most_(most),
       listener_(std::make_unique<net::Listener>(
           loop, listen,
-          net::Listener::Told{[this] { return associations_.size() < most_ || make_room(); },
-                              [this] { return make_room(); },
+          net::Listener::Told{[this] { return associations_.size() < most_ || release_connection(); },
+                              [this] { return release_connection(); },
                               [this](net::Descriptor fd) { came(std::move(fd)); }})) {
   sweep();
 }
@@ -265,8 +265,8 @@
   Z_APDU* apdu = nullptr;
   if (z_APDU(odr.get(), &apdu, 0, nullptr) == 0 || apdu == nullptr) {
     tally_.malformed += 1;
-    static log::Throttled throttled(log::Level::info, "z3950.malformed");
-    throttled.event({{"bytes", bytes.size()}});
+    static log::RateLimitedEvent throttled(log::Level::info, "z3950.malformed");
+    throttled.write({{"bytes", bytes.size()}});
     return end(at, Z_Close_protocolError, "a message that cannot be decoded");
   }
   if (at.initialised != (apdu->which != Z_APDU_initRequest) && apdu->which != Z_APDU_close) {
@@ -404,8 +404,8 @@
   if (waiting.syntax == Syntax::unsupported && (ask.by_hits->small > 0 || ask.by_hits->medium > 0))
     wrong = {Trouble::unsupported_packing, ""};
   if (wrong.what != Trouble::none) {
-    static log::Throttled throttled(log::Level::info, "z3950.bad_search");
-    throttled.event({{"diagnostic", bib1_of(wrong.what)}, {"why", wrong.detail}});
+    static log::RateLimitedEvent throttled(log::Level::info, "z3950.bad_search");
+    throttled.write({{"diagnostic", bib1_of(wrong.what)}, {"why", wrong.detail}});
     Reply reply;
     reply.diagnostic = wrong;
     return answer_search(at, waiting, reply);
@@ -760,7 +760,7 @@
 
 void Front::put(Association& at, Z_APDU& apdu) {
   const std::string bytes = encoded(make_odr(ODR_ENCODE).get(), &apdu);
-  if (!must_hold(!bytes.empty(), "an APDU of ours can be encoded")) return close(at);
+  if (!check_invariant(!bytes.empty(), "an APDU of ours can be encoded")) return close(at);
   // What does not fit is not sent in part: the association ends, and the client can tell.
   if (!at.stream->out().put(bytes)) return close(at);
   at.since = loop_.now();
@@ -814,12 +814,12 @@
   std::vector<Association*> over, unended, unread;
   for (const auto& [number, at] : associations_) {
     if (at->parting) {
-      if (now >= at->since + carriage_.connect_timeout) over.push_back(at.get());
+      if (now >= at->since + settings_.connect_timeout) over.push_back(at.get());
     } else if (at->scanner.begun() && now >= at->first_byte + kSaysNothing) {
       unended.push_back(at.get());
     } else if (!at->initialised && now >= at->since + kSaysNothing) {
       over.push_back(at.get());
-    } else if (!at->stream->out().empty() && now >= at->since + carriage_.longest_timeout) {
+    } else if (!at->stream->out().empty() && now >= at->since + settings_.max_route_timeout) {
       unread.push_back(at.get());
     }
   }
@@ -831,7 +831,7 @@
 }
 
 // Who has said nothing first, then whoever has been idle longest: an idle session can be opened again.
-bool Front::make_room() {
+bool Front::release_connection() {
   Association* best = nullptr;
   const auto spared = [](const Association& at) {
     return std::make_pair(at.parting ? 0 : !at.initialised ? 1 : 2, at.since);
@@ -850,7 +850,7 @@
   if (listener_) listener_->stop();
 }
 
-void Front::part_with_all() {
+void Front::close_after_answers() {
   parting_ = true;
   std::vector<Association*> idle;
   for (const auto& [number, at] : associations_) {
@@ -867,9 +867,9 @@
   for (Association* at : idle) end(*at, Z_Close_shutdown, "this gatherer stops");
 }
 
-void Front::bury() { graves_.clear(); }
+void Front::destroy_closed() { graves_.clear(); }
 
-void Front::report() const {
+void Front::log_totals() const {
   log::event(log::Level::info, "z3950.totals",
              {{"connections", size()},
               {"accepted", tally_.accepted},
--- a/src/z3950/front.h
+++ b/src/z3950/front.h
@@ -22,20 +22,20 @@
 class Front final : public search::DeskFront {
  public:
   // As of sru::Front.
-  Front(net::Loop& loop, const search::Terms& terms, const config::Carriage& carriage,
+  Front(net::Loop& loop, const search::Terms& terms, const config::ServiceSettings& settings,
         const net::Address& listen, std::uint32_t seed, std::size_t most);
   ~Front() override;
 
-  void leave() override {}  // this protocol has no word for it; a Close follows when it is time
+  void announce_stop() override {}  // this protocol has no word for it; a Close follows when it is time
   void stop_accepting() override;
-  void part_with_all() override;
+  void close_after_answers() override;
   void close_idle(Span since) override;
-  bool make_room() override;
+  bool release_connection() override;
   bool empty() const override { return associations_.empty(); }
   std::size_t size() const override { return associations_.size(); }
-  void bury() override;
+  void destroy_closed() override;
 
-  void report() const override;
+  void log_totals() const override;
 
   struct Tally {
     std::uint64_t accepted = 0, refused = 0, messages = 0, malformed = 0, out_of_order = 0, silent = 0,
--- a/tests/address_rig.cpp
+++ b/tests/address_rig.cpp
@@ -30,13 +30,13 @@
 // And so many turns of the loop, so that a machine that stands still is not taken for a breach.
 constexpr long kGraceTurns = 20;
 
-config::Carriage carriage() {
-  config::Carriage out;
-  out.parts_a_call = 16;
-  out.parts_a_connection = 100;
+config::ServiceSettings settings() {
+  config::ServiceSettings out;
+  out.max_parts_per_call = 16;
+  out.max_parts_per_connection = 100;
   out.connect_timeout = 250ms;
   out.idle = 15s;
-  out.longest_timeout = 4s;
+  out.max_route_timeout = 4s;
   out.tick = 5ms;
   return out;
 }
@@ -49,12 +49,12 @@
 
 struct Rig {
   explicit Rig(const standins::LeafOptions& options = {}, std::uint32_t seed = 7)
-      : carriage_(carriage()),
-        servers(loop, carriage_, seed, [] { return false; }),
+      : settings_(settings()),
+        servers(loop, settings_, seed, [] { return false; }),
         leaf(loop, options, seed) {
     loop.read_clock();
     addresses::Rules rules;
-    rules.attempt = carriage_.connect_timeout;
+    rules.attempt = settings_.connect_timeout;
     rules.hold = 200ms;
     rules.hold_most = 2s;
     servers.configure(rules, {});
@@ -123,7 +123,7 @@
   }
 
   net::Loop loop;
-  config::Carriage carriage_;
+  config::ServiceSettings settings_;
   servers::Servers servers;
   Leaf leaf;
   std::uint64_t number = 0;
@@ -614,8 +614,8 @@
 
 int main(int count, char** words) {
   if (count < 2) return 2;
-  log::open(std::getenv("MARBLEDYKE_LOG") != nullptr ? log::Level::debug : log::Level::error,
-            log::Form::plain, "rig");
+  log::configure(std::getenv("MARBLEDYKE_LOG") != nullptr ? log::Level::debug : log::Level::error,
+                 log::Format::plain, "rig");
   const std::string what = words[1];
   if (what == "fates")
     fates();
--- a/tests/client_room_traces.cpp
+++ b/tests/client_room_traces.cpp
@@ -118,7 +118,7 @@
   std::list<Client> before, at_end, after;
   connect_and_ask(before, kMoreThanPlaces, "before");
   scene.pass(20ms);
-  scene.gatherer.leave();
+  scene.gatherer.begin_stop();
   scene.pass(399ms);
   before_timers(scene, [&] { connect_and_ask(at_end, 20, "at-end"); });
   scene.pass(50ms);
@@ -209,7 +209,7 @@
   };
   body_later.wire.put(head("later"));
   scene.pass(100ms);
-  scene.gatherer.leave();
+  scene.gatherer.begin_stop();
   scene.pass(200ms);
   body_later.wire.put(body);
   scene.pass(20ms);
@@ -243,7 +243,7 @@
   scene.hosts = {&leaf};
   scene.pass(10ms);
   const Span told = clock.steady();
-  scene.gatherer.leave();
+  scene.gatherer.begin_stop();
   scene.pass(300ms);
   Client two_steps, slow;
   const int small = 32 * 1024;
@@ -285,7 +285,7 @@
 
 int main(int count, char** words) {
   if (count != 2) return 2;
-  log::open(log::Level::error, log::Form::plain, "test");
+  log::configure(log::Level::error, log::Format::plain, "test");
   const std::pair<const char*, void (*)()> cases[] = {{"all_in_hand", all_in_hand},
                                                       {"queue_at_stop", queue_at_stop},
                                                       {"floods", floods},
--- a/tests/crossing_traces.cpp
+++ b/tests/crossing_traces.cpp
@@ -31,7 +31,7 @@
   for (int i = 0; i < 50; ++i) many += "GET /other HTTP/1.1\r\n\r\n";
   flood.wire.put(many);
   before_timers(scene, [&] { flood.wire.reset(); });
-  for (int i = 0; i < 5; ++i) scene.gatherer.turn();
+  for (int i = 0; i < 5; ++i) scene.gatherer.run_once();
   other.wire.put("GET /healthz HTTP/1.1\r\n\r\n");
   scene.answered(other, "another client");
 }
@@ -132,7 +132,7 @@
     client.send("m", "draft", kOne);
     auto got = scene.next(leaf, "leaf");
     const Span told = clock.steady();
-    scene.gatherer.leave();
+    scene.gatherer.begin_stop();
     scene.pass(3200ms);
     leaf.answer(got.wire, "m.1", "S 1 -", "v");
     got = scene.next(leaf, "leaf");
@@ -424,8 +424,9 @@
   const Scene scene(entry("A", 11));
   net::Loop loop;
   loop.read_clock();
-  servers::Servers servers(loop, scene.commission.carriage, 7, [] { return false; });
-  servers.listed(list::read_news(config::parse(list_of(5, entry("A", 11))), scene.commission.carriage, 0s));
+  servers::Servers servers(loop, scene.gatherer_config.settings, 7, [] { return false; });
+  servers.listed(
+      list::read_news(config::parse(list_of(5, entry("A", 11))), scene.gatherer_config.settings, 0s));
   std::vector<servers::Errand> errands(2);
   for (servers::Errand& errand : errands) {
     const bool first = &errand == &errands.front();
@@ -490,8 +491,8 @@
   auto got = scene.next(leaf, "leaf");
   leaf.answer(got.wire, "m1.1", "S 1 -", "v");
   scene.answered(resting, "client");
-  scene.gatherer.leave();
-  scene.gatherer.leave();  // SIGTERM twice
+  scene.gatherer.begin_stop();
+  scene.gatherer.begin_stop();  // SIGTERM twice
   // After what has come in was read and right behind the gatherer's own timer, in the turn that ends the
   // resting ones.
   scene.gatherer.loop().at(scene.gatherer.loop().now() + 400ms, [&] { resting.send("m2", "issue", kOne); });
@@ -522,7 +523,7 @@
   Client client;
   scene.pass(10ms);
   const Span told = clock.steady();
-  scene.gatherer.leave();
+  scene.gatherer.begin_stop();
   scene.pass(300ms);
   client.send("m", "issue", kOne);
   scene.next(leaf, "leaf");
@@ -665,7 +666,7 @@
 void long_turn() {
   SteppedTime clock;
   Scene scene(entry("A", 11), clock);
-  log::tap([](const std::string& line) {
+  log::set_listener([](const std::string& line) {
     for (const char* key : {"\"ms\":", "\"longest_turn_ms\":"}) {
       const std::size_t at = line.find(key);
       if (at != std::string::npos) say(line.substr(at, line.find(',', at) - at));
@@ -680,17 +681,17 @@
   for (const Span time : {15ms, 25ms}) {
     say("a turn of " + std::to_string(time / 1ms) + " ms, and one for the stand-ins");
     takes(time);
-    scene.gatherer.report();
+    scene.gatherer.log_totals();
   }
-  scene.gatherer.report();
-  log::tap(nullptr);
+  scene.gatherer.log_totals();
+  log::set_listener(nullptr);
 }
 
 }  // namespace
 
 int main(int count, char** words) {
   if (count != 2) return 2;
-  log::open(log::Level::error, log::Form::plain, "test");
+  log::configure(log::Level::error, log::Format::plain, "test");
   const std::pair<const char*, void (*)()> cases[] = {{"flood_gone", flood_gone},
                                                       {"list_overdue", list_overdue},
                                                       {"list_reset", list_reset},
--- a/tests/emulator_traces.cpp
+++ b/tests/emulator_traces.cpp
@@ -332,7 +332,7 @@
   for (std::uint32_t seed = 1; seed <= 200; ++seed) {
     const Scenario s = scenario::draw(seed);
     const scenario::Read back = scenario::read_xml(scenario::write_xml(s));
-    if (!back.scenario) std::printf("seed %u: %s\n", seed, text_of("FILE", back.faults.front()).c_str());
+    if (!back.scenario) std::printf("seed %u: %s\n", seed, format_error("FILE", back.faults.front()).c_str());
     same += back.scenario && scenario::write_xml(*back.scenario) == scenario::write_xml(s) ? 1 : 0;
   }
   std::printf("%d of 200 read back the same\n", same);
@@ -341,7 +341,8 @@
         std::string("<scenario xmlns=\"urn:marbledyke:scenario:1\" length=\"10s\" settle=\"1s\">\n") +
         inside + "\n</scenario>");
     std::printf("%s\n", r.scenario ? "  good" : "");
-    for (const config::Fault& fault : r.faults) std::printf("  %s\n", text_of("FILE", fault).c_str());
+    for (const config::FileError& fault : r.faults)
+      std::printf("  %s\n", format_error("FILE", fault).c_str());
   };
   bad("<fleet servers=\"2\" cells=\"4\"/>");
   bad("<fleet servers=\"many\"/>\n<load rate=\"-1\"/>");
--- a/tests/gatherer_traces.cpp
+++ b/tests/gatherer_traces.cpp
@@ -268,7 +268,7 @@
   scene.hosts = {&a, &b, &old, &moved};
   scene.until("a call", [&] { return !old.asked.empty(); });
   say("the old one is asked " + old.asked.front());
-  config::Commission fresh = scene.commission;
+  config::GathererConfig fresh = scene.gatherer_config;
   fresh.discovery = *net::parse_address(address(3));
   fresh.discovery_host = address(3);
   scene.gatherer.reload(fresh);
@@ -296,7 +296,7 @@
   half.wire.put("POST /api HTT");  // must not keep the program from its end
   first.send("m1", "issue", kOne);
   const auto got = scene.next(leaf, "leaf");
-  scene.gatherer.leave();
+  scene.gatherer.begin_stop();
   Client late;
   late.send("m2", "issue", kOne);
   const auto second = scene.next(leaf, "leaf");
@@ -326,7 +326,7 @@
     scene.answered(kept, name);
   };
   asks("m1", "client");
-  scene.gatherer.leave();
+  scene.gatherer.begin_stop();
   scene.until("no new connections", [] {
     Client late;
     return late.wire.take().empty() && late.wire.ended;
@@ -352,7 +352,7 @@
   for (int i = 0; i < 500; ++i) many += "GET /other HTTP/1.1\r\n\r\n";
   flood.wire.put(many);
   scene.until("an answer", [&] { return flood.answered(); });
-  for (int i = 0; i < 3; ++i) scene.gatherer.turn();
+  for (int i = 0; i < 3; ++i) scene.gatherer.run_once();
   flood.answered();
   std::size_t answers = 0;
   for (std::size_t at = 0; (at = flood.text.find("404", at)) != std::string::npos; ++at) answers += 1;
@@ -479,7 +479,7 @@
 
 int main(int count, char** words) {
   if (count != 2) return 2;
-  log::open(log::Level::error, log::Form::plain, "test");
+  log::configure(log::Level::error, log::Format::plain, "test");
   const std::pair<const char*, void (*)()> cases[] = {{"life", life},
                                                       {"second_step", second_step},
                                                       {"not_connected", not_connected},
--- a/tests/keeper_traces.cpp
+++ b/tests/keeper_traces.cpp
@@ -170,7 +170,7 @@
         static_cast<std::int64_t>(std::exp(4 + 10 * std::generate_canonical<double, 53>(chance))));
     const std::string op = chance() % 3 == 0 ? "issue" : "look";
     for (totals::Window* window : {&whole, &parts[chance() % 7]}) {
-      totals::Count& count = window->by_op_type[op];
+      totals::OpTypeCounts& count = window->by_op_type[op];
       count.taken += 1;
       count.answered += 1;
       count.in_budget += took <= 1s ? 1 : 0;
@@ -180,16 +180,17 @@
   totals::Window forth, back;
   for (std::size_t i = 0; i < parts.size(); ++i) {
     forth.merge(parts[i]);
-    back.merge(totals::read_window(nlohmann::json::parse(totals::put(parts[parts.size() - 1 - i]).dump())));
+    back.merge(
+        totals::parse_window(nlohmann::json::parse(totals::to_json(parts[parts.size() - 1 - i]).dump())));
   }
   std::printf("seven merged are one: %s; in the other order, written and read: %s\n",
               forth.by_op_type == whole.by_op_type ? "yes" : "NO",
               back.by_op_type == whole.by_op_type ? "yes" : "NO");
-  const totals::Count all = whole.all();
+  const totals::OpTypeCounts all = whole.total();
   std::printf("%llu, median %lld us, 99th %lld us\n", static_cast<unsigned long long>(all.latency.count()),
-              static_cast<long long>(all.latency.at(0.5).count()),
-              static_cast<long long>(all.latency.at(0.99).count()));
-  totals::Series series;
+              static_cast<long long>(all.latency.quantile(0.5).count()),
+              static_cast<long long>(all.latency.quantile(0.99).count()));
+  totals::WindowHistory series;
   for (int i = 0; i < 300; ++i) {
     totals::Window w;
     w.start_ms = 1000 * i;
@@ -197,15 +198,15 @@
     series.add(w);
   }
   std::printf("300 windows: %zu kept, %llu counted since the start, 10 s hold %llu\n",
-              series.windows().size(), static_cast<unsigned long long>(series.since_start().all().taken),
-              static_cast<unsigned long long>(series.merged(290'000, 300'000).all().taken));
+              series.windows().size(), static_cast<unsigned long long>(series.since_start().total().taken),
+              static_cast<unsigned long long>(series.merged(290'000, 300'000).total().taken));
   totals::Window earlier;
   earlier.start_ms = 250'000;  // the clock was set back by 50 s
   earlier.by_op_type["look"].taken = 5;
   series.add(earlier);
   std::printf("clock set back 50 s: newest window %lld, %zu kept, since the start %llu\n",
               static_cast<long long>(series.windows().rbegin()->first), series.windows().size(),
-              static_cast<unsigned long long>(series.since_start().all().taken));
+              static_cast<unsigned long long>(series.since_start().total().taken));
 }
 
 std::map<std::string, EmulatedVersion> versions() {
--- a/tests/operator_traces.cpp
+++ b/tests/operator_traces.cpp
@@ -18,7 +18,7 @@
 void show(const char* what, const std::string& text) {
   const Result result = read_xml(text);
   std::printf("-- %s\n", what);
-  for (const Fault& fault : result.faults) std::printf("%s\n", text_of("FILE", fault).c_str());
+  for (const FileError& fault : result.faults) std::printf("%s\n", format_error("FILE", fault).c_str());
   if (result.terms) std::printf("%s\n", put_result(result).c_str());
   // What passes between the two programs says the same on the other side.
   if (put_result(read_result(put_result(result))) != put_result(result)) std::printf("NOT THE SAME AGAIN\n");
@@ -131,8 +131,9 @@
   show("too large", std::string(xml::kMostFile + 1, ' '));
   show("no text", std::string("\xff\xfe\x00\x01", 4));
   const Result folder = read_xml_file("/");
-  std::printf("-- a folder\n%s\n", text_of("FILE", folder.faults.front()).c_str());
-  std::printf("-- not there\n%s\n", text_of("FILE", read_xml_file("/there/is/none").faults.front()).c_str());
+  std::printf("-- a folder\n%s\n", format_error("FILE", folder.faults.front()).c_str());
+  std::printf("-- not there\n%s\n",
+              format_error("FILE", read_xml_file("/there/is/none").faults.front()).c_str());
 }
 
 // Seeded damage: whatever is done to a good file, it is read as good or refused with a reason, and what is
--- a/tests/parser_traces.cpp
+++ b/tests/parser_traces.cpp
@@ -13,8 +13,8 @@
 #include <string>
 #include <vector>
 
-#include "clients/ask.h"
-#include "config/commission.h"
+#include "clients/multiget_request.h"
+#include "config/gatherer_config.h"
 #include "list/news.h"
 #include "net/http.h"
 #include "net/loop.h"
@@ -198,8 +198,8 @@
   sample("no line end");
 }
 
-config::Carriage carriage() {
-  config::Carriage out;
+config::ServiceSettings settings() {
+  config::ServiceSettings out;
   out.op_types = {{"draft", 2}, {"issue", 0}};
   out.customers = {"acme", "zeta"};
   out.zones = {"a", "b"};
@@ -215,18 +215,18 @@
           {"x-request-id", "9b1f"}, {"x-class", "issue"}, {"x-tenant", "zeta"}, {"x-deadline-ms", "480"}};
     }
     m.body = body;
-    const auto read = clients::read_ask(m, carriage());
-    if (const auto* wrong = std::get_if<clients::Complaint>(&read)) {
-      std::printf("%-18s %d %s\n", name, wrong->status, wrong->why.c_str());
+    const auto read = clients::parse_multiget(m, settings());
+    if (const auto* wrong = std::get_if<clients::RequestError>(&read)) {
+      std::printf("%-18s %d %s\n", name, wrong->status, wrong->reason.c_str());
       return;
     }
-    const clients::Ask& a = std::get<clients::Ask>(read);
+    const clients::Multiget& a = std::get<clients::Multiget>(read);
     std::printf("%-18s %s, op type %d, customer %d, %lld us, '%s'", name, a.id.c_str(), a.op_type, a.customer,
-                static_cast<long long>(a.patience.count()), shown(*a.text).c_str());
-    if (a.repeated) std::printf(", a repeat");
-    for (const clients::Piece& p : a.pieces) {
-      std::printf("; %d %.2f %llx %lld", p.shard, p.mass, static_cast<unsigned long long>(p.key),
-                  static_cast<long long>(p.hint.count()));
+                static_cast<long long>(a.client_timeout.count()), shown(*a.text).c_str());
+    if (a.is_client_retry) std::printf(", a repeat");
+    for (const clients::Part& p : a.parts) {
+      std::printf("; %d %.2f %llx %lld", p.shard, p.weight, static_cast<unsigned long long>(p.key),
+                  static_cast<long long>(p.work_estimate.count()));
     }
     std::printf("\n");
   };
@@ -282,7 +282,7 @@
 void news() {
   const auto read = [](const char* text) {
     try {
-      const list::News n = list::read_news(config::parse(text), carriage(), std::chrono::seconds(1000));
+      const list::News n = list::read_news(config::parse(text), settings(), std::chrono::seconds(1000));
       std::printf("version %lld%s, %d skipped", static_cast<long long>(n.index), n.whole ? ", whole" : "",
                   n.skipped);
       for (const list::Entry& e : n.entries) {
@@ -325,10 +325,11 @@
   const std::string& fine = kCommission;
   const auto read = [](const std::string& text) {
     try {
-      const config::Commission c = config::read_commission(text);
+      const config::GathererConfig c = config::parse_gatherer_config(text);
       std::printf("%s, %d sockets, seed %08x, %zu op types, second step %d, %zu customers, most in hand %d\n",
-                  c.name.c_str(), c.sockets, c.seed, c.carriage.op_types.size(),
-                  c.carriage.op_types[0].second_step, c.carriage.customers.size(), c.carriage.most_in_hand);
+                  c.name.c_str(), c.max_sockets, c.seed, c.settings.op_types.size(),
+                  c.settings.op_types[0].second_step_parts, c.settings.customers.size(),
+                  c.settings.max_pending);
     } catch (const config::BadInput& wrong) {
       std::printf("refused: %s\n", wrong.what());
     }
@@ -460,17 +461,17 @@
         net::HttpMessage m;
         m.headers = {{"x-request-id", "i"}, {"x-class", "draft"}, {"x-deadline-ms", "1"}};
         m.body = body;
-        const auto read = clients::read_ask(m, carriage());
-        if (std::holds_alternative<clients::Complaint>(read)) throw config::BadInput("");
+        const auto read = clients::parse_multiget(m, settings());
+        if (std::holds_alternative<clients::RequestError>(read)) throw config::BadInput("");
       }));
   rounds(
       "news",
       R"({"index":4,"snapshot":true,"endpoints":[{"name":"A","address":"127.1.0.1:9000","zone":"a","group":0,"status":"ready","weight":1.0,"since_ms":1796137000000}]})",
       refusable([](const std::string& text) {
-        list::read_news(config::parse(text), carriage(), std::chrono::seconds(1000));
+        list::read_news(config::parse(text), settings(), std::chrono::seconds(1000));
       }));
   rounds("commissions", kCommission,
-         refusable([](const std::string& text) { config::read_commission(text); }));
+         refusable([](const std::string& text) { config::parse_gatherer_config(text); }));
 }
 
 // A process that is stopped while it waits, and goes on after a timer is due, reads what has come in
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -219,9 +219,9 @@
             "tick":)" +
                 tick + R"(,"contract":{"ask-every":10000000}}})",
             changes)),
-        commission(config::read_commission(text)),
+        gatherer_config(config::parse_gatherer_config(text)),
         stepped(clock),
-        gatherer(commission, {},
+        gatherer(gatherer_config, {},
                  clock != nullptr ? static_cast<const TimeSource&>(*clock) : machine_clock()) {}
   // In stepped time, among settings with these changes.
   Scene(const std::string& entries, SteppedTime& clock, const Changes& changes = {})
@@ -230,7 +230,7 @@
   // The configuration read again with these changes of its text.
   void reload(const Changes& changes) {
     try {
-      gatherer.reload(config::read_commission(changed(text, changes)));
+      gatherer.reload(config::parse_gatherer_config(changed(text, changes)));
       say("-- read again");
     } catch (const std::exception& wrong) {
       say(std::string("-- refused: ") + wrong.what());
@@ -251,7 +251,7 @@
   }
   void turn() {
     gatherer.loop().at(gatherer.loop().now() + 20ms, [] {});  // the stand-ins get their turn too
-    running = gatherer.turn() && running;
+    running = gatherer.run_once() && running;
     if (stepped != nullptr) stepped->pass();
   }
   // In stepped time: so much of it passes.
@@ -275,7 +275,7 @@
   }
 
   std::string text;
-  config::Commission commission;
+  config::GathererConfig gatherer_config;
   std::vector<Host*> hosts;
   SteppedTime* stepped;
   gatherer::Gatherer gatherer;
--- a/tests/search_traces.cpp
+++ b/tests/search_traces.cpp
@@ -140,17 +140,17 @@
 
 // ---- the desk ----
 
-config::Carriage carriage() {
-  config::Carriage out;
-  config::OpName look, part, once;
+config::ServiceSettings settings() {
+  config::ServiceSettings out;
+  config::OpTypeSettings look, part, once;
   look.name = "look";
   part.name = "some";
-  part.floor = 0.5;
+  part.min_answer_share = 0.5;
   once.name = "issue";
-  once.once = true;
+  once.non_retriable = true;
   out.op_types = {look, part, once};
   out.shards = 4;
-  out.longest_timeout = 4s;
+  out.max_route_timeout = 4s;
   return out;
 }
 
@@ -191,7 +191,7 @@
 }
 
 struct Bench {
-  Bench() : its(carriage()), desk(terms(), its, 7), catalogue(40, 4) { desk.clock(now); }
+  Bench() : its(settings()), desk(terms(), its, 7), catalogue(40, 4) { desk.clock(now); }
 
   void pass(Span time) {
     now += time;
@@ -205,15 +205,15 @@
       while (const auto asked = desk.next_ask()) {
         any = true;
         std::string shards;
-        for (const auto& piece : asked->ask.pieces) shards += " " + std::to_string(piece.shard);
-        const auto ask = search::read_part_ask(*asked->ask.text);
-        std::printf("  asks op type %d, shards%s", asked->ask.op_type, shards.c_str());
+        for (const auto& piece : asked->multiget.parts) shards += " " + std::to_string(piece.shard);
+        const auto ask = search::read_part_ask(*asked->multiget.text);
+        std::printf("  asks op type %d, shards%s", asked->multiget.op_type, shards.c_str());
         if (ask->errand == search::Errand::search) {
           std::printf(", from %d, %d", ask->from, ask->count);
           for (const auto& [shard, run] : ask->of_shard)
             std::printf("; of %d from %d, %d", shard, run.first, run.second);
         }
-        std::printf(", time %lld ms\n", static_cast<long long>(asked->ask.patience / 1ms));
+        std::printf(", time %lld ms\n", static_cast<long long>(asked->multiget.client_timeout / 1ms));
         if (hold) {
           held.push_back(*asked);
           continue;
@@ -232,10 +232,10 @@
       }
     }
   }
-  void answer(const front::Asked& asked, const search::PartAsk& ask) {
+  void answer(const front::Request& asked, const search::PartAsk& ask) {
     std::vector<std::string> values;
     std::vector<int> shards;
-    for (const auto& piece : asked.ask.pieces) {
+    for (const auto& piece : asked.multiget.parts) {
       if (away.contains(piece.shard)) continue;
       if (mad.contains(piece.shard)) {
         values.push_back("{\"hits\":-1}");
@@ -244,12 +244,13 @@
       }
       shards.push_back(piece.shard);
     }
-    const config::OpName& op = its.op_types[static_cast<std::size_t>(asked.ask.op_type)];
-    const double share = static_cast<double>(shards.size()) / static_cast<double>(asked.ask.pieces.size());
-    if (share < op.floor) return desk.refused(asked.caller, front::Refusal::failed, {});
+    const config::OpTypeSettings& op = its.op_types[static_cast<std::size_t>(asked.multiget.op_type)];
+    const double share =
+        static_cast<double>(shards.size()) / static_cast<double>(asked.multiget.parts.size());
+    if (share < op.min_answer_share) return desk.refused(asked.caller, front::Refusal::failed, {});
     std::vector<front::Value> out;
     for (std::size_t i = 0; i < values.size(); ++i) out.push_back({shards[i], values[i]});
-    desk.answered(asked.caller, shards.size() == asked.ask.pieces.size(), out);
+    desk.answered(asked.caller, shards.size() == asked.multiget.parts.size(), out);
   }
   std::string name(search::Operation operation) const { return "operation " + std::to_string(operation); }
   void print(const search::Reply& r) {
@@ -293,12 +294,12 @@
   }
 
   Span now = 1s;
-  config::Carriage its;
+  config::ServiceSettings its;
   search::Desk desk;
   standins::Catalogue catalogue;
   std::set<int> away, mad;
   bool hold = false;
-  std::vector<front::Asked> held;
+  std::vector<front::Request> held;
   std::string database = "clauses";
 };
 
@@ -351,7 +352,7 @@
   b.hold = true;
   b.search(s, "dc.title = of", 9, 4);
   b.hold = false;
-  b.answer(b.held[0], *search::read_part_ask(*b.held[0].ask.text));
+  b.answer(b.held[0], *search::read_part_ask(*b.held[0].multiget.text));
   b.hold = true;
   b.pull();
   b.desk.refused(b.held[1].caller, front::Refusal::pushed_back, 300ms);
@@ -577,7 +578,7 @@
                        bool then_unreadable = false) {
     net::Loop loop;
     loop.read_clock();
-    config::Carriage its = carriage();
+    config::ServiceSettings its = settings();
     its.connect_timeout = 100ms;
     its.idle = 10s;
     carrier::Carrier carrier(loop, its, z3950::make_talk, [] { return false; });
