--- a/bench/benchmarks.cpp
+++ b/bench/benchmarks.cpp
@@ -48,7 +48,7 @@
   s.fleet.shards = 128;
   s.op_types[0].parts = static_cast<int>(pieces);
   Choice choice(scenario::terms_of(s, 0), 1);
-  Span now{};
+  Duration now{};
   choice.clock(now);
   choice.list_opens(true, false);
   for (int i = 0; i < servers; ++i) {
@@ -163,7 +163,7 @@
       "A", true,
       {*net::parse_address("unix:@a"), *net::parse_address("[::1]:90"), *net::parse_address("127.0.0.1:90")});
   book.news_closes();
-  Span now{};
+  Duration now{};
   for (auto _ : state) {
     now += 1ms;
     const auto id = book.begin("A", now);
--- a/src/addresses/book.cpp
+++ b/src/addresses/book.cpp
@@ -171,7 +171,7 @@
 
 // ---- races ----
 
-Book::RaceId Book::begin(std::string_view server, Span now) {
+Book::RaceId Book::begin(std::string_view server, Duration now) {
   Race race;
   race.server = server;
   race.left = order(server);
@@ -184,7 +184,7 @@
   return id;
 }
 
-Step Book::next(RaceId id, Span now) {
+Step Book::next(RaceId id, Duration now) {
   Race& race = races_.at(id);
   Step step;
   const auto lost = [&] {
@@ -195,7 +195,7 @@
   };
   if (race.decided) return lost();
   int out = 0;
-  Span wake = race.limit;
+  Duration wake = race.limit;
   for (Attempt& attempt : race.attempts) {
     if (!attempt.out) continue;
     if (now >= attempt.limit) {
@@ -212,7 +212,7 @@
   while (!race.left.empty() && !usable(race.server, race.left.back())) race.left.pop_back();
   if (race.left.empty() && out == 0) return lost();
   if (!race.left.empty() && out < rules_.at_once) {
-    const Span due =
+    const Duration due =
         out == 0 || race.hurry ? now : race.attempts.back().started + race.attempts.back().stagger;
     if (now >= due) {
       Known& known = *find(race.server, race.left.back());
@@ -239,7 +239,7 @@
   return step;
 }
 
-void Book::ended(RaceId id, int number, End end, Span now) {
+void Book::ended(RaceId id, int number, End end, Duration now) {
   Race& race = races_.at(id);
   Attempt& attempt = race.attempts[static_cast<std::size_t>(number)];
   if (!attempt.out) return;
@@ -270,19 +270,19 @@
 
 void Book::over(RaceId race) { races_.erase(race); }
 
-Span Book::stagger_for(const Known& known) const {
-  if (known.smoothed == Span::zero()) return rules_.stagger;
+Duration Book::stagger_for(const Known& known) const {
+  if (known.smoothed == Duration::zero()) return rules_.stagger;
   return std::clamp(known.smoothed + kMargin * known.spread, rules_.stagger_least, rules_.stagger);
 }
 
-void Book::learn(Known& known, Span took) {
-  took = std::max(took, Span(1));
-  if (known.smoothed == Span::zero()) {
+void Book::learn(Known& known, Duration took) {
+  took = std::max(took, Duration(1));
+  if (known.smoothed == Duration::zero()) {
     known.smoothed = took;
     known.spread = took / 2;
     return;
   }
-  const Span off = took > known.smoothed ? took - known.smoothed : known.smoothed - took;
+  const Duration off = took > known.smoothed ? took - known.smoothed : known.smoothed - took;
   known.spread += (off - known.spread) / kSpreading;
   known.smoothed += (took - known.smoothed) / kSmoothing;
 }
@@ -291,7 +291,7 @@
 
 void Book::good(Known& known) { known.proven = true; }
 
-void Book::fault(const std::string& server, Known& known, Span now) {
+void Book::fault(const std::string& server, Known& known, Duration now) {
   const auto at = servers_.find(server);
   if (at == servers_.end() || at->second.known.size() < 2) return;
   if (known.doubted && known.retry_at > now && !known.on_trial) {
@@ -299,7 +299,7 @@
     return;
   }
   known.faults = now - known.last_fault > kQuietHolds * known.hold ? 1 : known.faults + 1;
-  Span hold = rules_.hold;
+  Duration hold = rules_.hold;
   for (int i = 1; i < std::min(known.faults, kMostDoublings) && hold < rules_.hold_most; ++i) hold *= 2;
   hold = std::min(hold, rules_.hold_most);
   known.hold = hold;
@@ -310,7 +310,7 @@
   known.doubted = true;
   // A fifth earlier or later, so that addresses which failed together are not tried together.
   const auto spread = static_cast<std::uint32_t>(hold.count() * 2 / 5 + 1);
-  known.retry_at = now + hold * 4 / 5 + Span(static_cast<std::int64_t>(chance_() % spread));
+  known.retry_at = now + hold * 4 / 5 + Duration(static_cast<std::int64_t>(chance_() % spread));
   due_.insert({known.retry_at, {server, known.address}});
 }
 
@@ -324,14 +324,14 @@
   if (Known* const known = find(server, address)) good(*known);
 }
 
-void Book::failed(std::string_view server, const Address& address, End end, Span now) {
+void Book::failed(std::string_view server, const Address& address, End end, Duration now) {
   if (end != End::reset_early && end != End::silent) return;
   if (Known* const known = find(server, address)) fault(std::string(server), *known, now);
 }
 
 // ---- trials ----
 
-std::optional<Trial> Book::next_trial(Span now) {
+std::optional<Trial> Book::next_trial(Duration now) {
   while (!due_.empty() && due_.begin()->first <= now && trials_ < rules_.trials_at_once) {
     const auto [at, key] = *due_.begin();
     due_.erase(due_.begin());
@@ -351,7 +351,7 @@
   return std::nullopt;
 }
 
-void Book::trial_ended(const Trial& trial, End end, Span took, Span now) {
+void Book::trial_ended(const Trial& trial, End end, Duration took, Duration now) {
   --trials_;
   Known* const known = find(trial.server, trial.to);
   // Taken away meanwhile, and perhaps named again, or proved by a race.
@@ -373,12 +373,12 @@
   known->on_trial = false;
 }
 
-std::optional<Span> Book::next_trial_at() const {
+std::optional<Duration> Book::next_trial_at() const {
   if (due_.empty() || trials_ >= rules_.trials_at_once) return std::nullopt;
   return due_.begin()->first;
 }
 
-std::string Book::describe(std::string_view server, Span now) const {
+std::string Book::describe(std::string_view server, Duration now) const {
   std::string out;
   for (const Known* known : ranked(server)) {
     if (!out.empty()) out += ", ";
--- a/src/addresses/book.h
+++ b/src/addresses/book.h
@@ -33,13 +33,14 @@
 // The operator's figures. Times are spans of the program's clock.
 struct Rules {
   std::vector<Family> prefer{Family::local, Family::ip6, Family::ip4};  // each at most once; others come last
-  Span attempt{250'000};       // an attempt's limit, its proof included
-  Span race{1'000'000};        // a whole race's limit where there are several addresses
-  Span stagger{100'000};       // the next attempt starts so long after one that has not come up, at most
-  Span stagger_least{10'000};  // and at least; between them it follows how long connects took (RFC 8305, 5)
-  int at_once = 3;             // attempts of one race under way
-  Span hold{1'000'000};        // an address in doubt is tried again after this, doubling with each failure
-  Span hold_most{60'000'000};
+  Duration attempt{250'000};  // an attempt's limit, its proof included
+  Duration race{1'000'000};   // a whole race's limit where there are several addresses
+  Duration stagger{100'000};  // the next attempt starts so long after one that has not come up, at most
+  Duration stagger_least{
+      10'000};               // and at least; between them it follows how long connects took (RFC 8305, 5)
+  int at_once = 3;           // attempts of one race under way
+  Duration hold{1'000'000};  // an address in doubt is tried again after this, doubling with each failure
+  Duration hold_most{60'000'000};
   int trials_at_once = 4;  // of all servers together
   Prove prove = Prove::in_doubt;
 };
@@ -62,13 +63,13 @@
   int attempt = 0;     // dial, abandon: its number within the race
   Address to;          // dial
   bool prove = false;  // dial: it wins only once it has answered a probe
-  Span until{};        // wait: ask again then, or when an attempt ended
+  Duration until{};    // wait: ask again then, or when an attempt ended
 };
 
 struct Trial {
   std::string server;
   Address to;
-  Span limit{};  // the time it may take, its proof included
+  Duration limit{};  // the time it may take, its proof included
 };
 
 struct Tally {
@@ -104,29 +105,29 @@
   std::vector<Address> order(std::string_view server) const;
 
   // ---- races: one for each connection that is to be opened ----
-  RaceId begin(std::string_view server, Span now);
+  RaceId begin(std::string_view server, Duration now);
   // Pulled until it says wait or lost.
-  Step next(RaceId race, Span now);
+  Step next(RaceId race, Duration now);
   // Connected, but yet to prove itself: its time goes on.
-  void ended(RaceId race, int attempt, End end, Span now);
+  void ended(RaceId race, int attempt, End end, Duration now);
   // The race is over for the connection layer; attempts that have not ended are to be closed by it.
   void over(RaceId race);
 
   // ---- connections ----
   void spoke(std::string_view server, const Address& address);  // something was heard on one
   // One that came up ended, or kept silent, before anything was ever heard on it.
-  void failed(std::string_view server, const Address& address, End end, Span now);
+  void failed(std::string_view server, const Address& address, End end, Duration now);
 
   // ---- trials: addresses in doubt are dialled and asked without a part ----
-  std::optional<Trial> next_trial(Span now);
-  void trial_ended(const Trial& trial, End end, Span took, Span now);
+  std::optional<Trial> next_trial(Duration now);
+  void trial_ended(const Trial& trial, End end, Duration took, Duration now);
   // When next_trial() may have something again; none while nothing is in doubt or as many run as may.
-  std::optional<Span> next_trial_at() const;
+  std::optional<Duration> next_trial_at() const;
 
   const Tally& tally() const { return tally_; }
   std::size_t servers() const { return servers_.size(); }
   std::size_t racing() const { return races_.size(); }
-  std::string describe(std::string_view server, Span now) const;  // a line for logs and traces
+  std::string describe(std::string_view server, Duration now) const;  // a line for logs and traces
 
  private:
   struct Known {
@@ -134,12 +135,12 @@
     std::uint64_t claimed = 0;  // the news that first named it for this server
     bool proven = false;        // spoke the last time it was used
     bool doubted = false;
-    int faults = 0;  // without a quiet time between them
-    Span hold{};     // after the last of them
-    Span last_fault = Span::min() / 2;
-    Span retry_at{};  // while doubted
+    int faults = 0;   // without a quiet time between them
+    Duration hold{};  // after the last of them
+    Duration last_fault = Duration::min() / 2;
+    Duration retry_at{};  // while doubted
     bool on_trial = false;
-    Span smoothed{}, spread{};  // of the time to come up; zero: not known
+    Duration smoothed{}, spread{};  // of the time to come up; zero: not known
   };
   struct Server {
     bool up = false;
@@ -150,15 +151,15 @@
   struct Attempt {
     int number = 0;
     Address to;
-    Span started{}, limit{};
-    Span stagger{};  // before the next one starts beside it
+    Duration started{}, limit{};
+    Duration stagger{};  // before the next one starts beside it
     bool out = true;
   };
   struct Race {
     std::string server;
     std::vector<Address> left;  // to be dialled, the next one last
     std::vector<Attempt> attempts;
-    Span limit{};
+    Duration limit{};
     bool several = false;
     bool hurry = true;  // the newest has failed: the next one does not wait
     bool decided = false;
@@ -170,9 +171,9 @@
   Known* find(std::string_view server, const Address& address);
   std::vector<const Known*> ranked(std::string_view server) const;
   void good(Known& known);
-  void fault(const std::string& server, Known& known, Span now);
-  void learn(Known& known, Span took);
-  Span stagger_for(const Known& known) const;
+  void fault(const std::string& server, Known& known, Duration now);
+  void learn(Known& known, Duration took);
+  Duration stagger_for(const Known& known) const;
   void forget_doubt(const std::string& server, Known& known);
   std::size_t preference(Family family) const;
 
@@ -182,7 +183,7 @@
   std::map<std::string, Configured, std::less<>> configured_;
   std::map<Address, std::map<std::string, std::uint64_t>> claims_;  // who named it, since which news
   std::map<RaceId, Race> races_;
-  std::set<std::pair<Span, std::pair<std::string, Address>>> due_;  // addresses in doubt, by retry_at
+  std::set<std::pair<Duration, std::pair<std::string, Address>>> due_;  // addresses in doubt, by retry_at
   RaceId next_race_ = 1;
   std::uint64_t news_ = 0;
   bool whole_ = false;
--- a/src/carrier/carrier.cpp
+++ b/src/carrier/carrier.cpp
@@ -129,7 +129,7 @@
 void Carrier::call(const std::string& server, std::vector<servers::Errand> errands) {
   for (servers::Errand& errand : errands) {
     const Key key{errand.part, errand.send};
-    const Span limit = errand.not_past;
+    const Duration limit = errand.not_past;
     Job& job = jobs_[key];
     job.errand = std::move(errand);
     tally_.parts += 1;
--- a/src/carrier/fates.h
+++ b/src/carrier/fates.h
@@ -12,9 +12,9 @@
 
 namespace marbledyke::carrier {
 
-inline constexpr std::size_t kMostLinks = 16;     // to one server
-inline constexpr std::size_t kMostWaiting = 256;  // parts at one server
-inline constexpr Span kLeavingHold{5'000'000};    // a server that leaves is left alone for so long
+inline constexpr std::size_t kMostLinks = 16;       // to one server
+inline constexpr std::size_t kMostWaiting = 256;    // parts at one server
+inline constexpr Duration kLeavingHold{5'000'000};  // a server that leaves is left alone for so long
 
 enum class Stage {
   waiting,   // for a connection
@@ -37,11 +37,11 @@
 // over, or the list says anew that it is up: the protocol's own way to tell of a drain.
 class Leaving {
  public:
-  explicit Leaving(Span hold) : hold_(hold) {}
-  void said(const std::string& server, Span now) { until_[server] = now + hold_; }
+  explicit Leaving(Duration hold) : hold_(hold) {}
+  void said(const std::string& server, Duration now) { until_[server] = now + hold_; }
   void listed_up(const std::string& server) { until_.erase(server); }
   void gone(const std::string& server) { until_.erase(server); }
-  bool takes(const std::string& server, Span now) {
+  bool takes(const std::string& server, Duration now) {
     const auto at = until_.find(server);
     if (at == until_.end()) return true;
     if (now < at->second) return false;
@@ -51,8 +51,8 @@
   std::size_t size() const { return until_.size(); }
 
  private:
-  Span hold_;
-  std::map<std::string, Span> until_;  // no more than servers are listed
+  Duration hold_;
+  std::map<std::string, Duration> until_;  // no more than servers are listed
 };
 
 // Whether a part may go out on a connection that has been used before. Such a one may be closed by its server
--- a/src/checker/checker.cpp
+++ b/src/checker/checker.cpp
@@ -53,17 +53,17 @@
   return std::accumulate(counts_.begin(), counts_.end(), std::uint64_t{0});
 }
 
-void Checker::breach(int rule, const std::string& what, Span at, const std::vector<Event>& trace) {
+void Checker::breach(int rule, const std::string& what, Duration at, const std::vector<Event>& trace) {
   counts_[static_cast<std::size_t>(rule)] += 1;
   if (breaches_.size() < kKept) breaches_.push_back({rule, what, at, trace});
 }
 
-void Checker::forget(std::uint64_t id, Span now) {
+void Checker::forget(std::uint64_t id, Duration now) {
   const auto at = open_.find(id);
   if (at == open_.end()) return;
   due_.erase({at->second.until, id});
   open_.erase(at);
-  if (rules_.crossing <= Span::zero()) return;
+  if (rules_.crossing <= Duration::zero()) return;
   lately_.emplace_back(now, id);
   over_lately_.insert(id);
 }
@@ -272,7 +272,7 @@
     breach(3, "a part sent to a server known to drain or to be gone", event.at, mg.trace);
   Budget& budget = budgets_[event.gatherer];
   if (!part.sends.empty()) {
-    const Span from = event.at - rules_.further_window;
+    const Duration from = event.at - rules_.further_window;
     while (!budget.taken.empty() && budget.taken.front() < from) budget.taken.pop_front();
     while (!budget.further.empty() && budget.further.front() < from) budget.further.pop_front();
     budget.further.push_back(event.at);
@@ -296,7 +296,7 @@
   const auto knows = knows_cold_.find({event.server, event.gatherer});
   if (knows == knows_cold_.end() || event.at < knows->second + rules_.slack) return;
   Server& server = at->second;
-  const Span age = event.at - server.started;
+  const Duration age = event.at - server.started;
   if (age >= rules_.cold) {
     server.cold = false;
     server.work.clear();
@@ -353,7 +353,7 @@
   if (mg.out == 0) forget(event.multiget, event.at);
 }
 
-void Checker::finish(Span end) {
+void Checker::finish(Duration end) {
   Event last;
   last.at = end;
   last.what = What::stopped;
--- a/src/checker/checker.h
+++ b/src/checker/checker.h
@@ -37,7 +37,7 @@
 };
 
 struct Event {
-  Span at{};
+  Duration at{};
   What what = What::taken;
   int gatherer = -1;
   std::uint64_t multiget = 0;  // unique over all gatherers and restarts
@@ -51,7 +51,7 @@
   bool counted = true;  // sent: it is not the part's first
   Fate fate = Fate::unused;
   Standing standing = Standing::up;
-  Span until{};
+  Duration until{};
   bool heard = true;  // told, returned: it is known that the gatherer had it, not only that it was said
   double work = 0;    // arrived: seconds on one core that it is told to take
 };
@@ -60,29 +60,29 @@
 struct OpRule {
   bool non_retriable = false;
   bool deduped = false;
-  Span window{};
+  Duration window{};
   double floor = 1, need = 1;
 };
 
 struct Rules {
   std::vector<OpRule> op_types;
-  Span slack{50'000};  // what a message may be under way when a time is up
+  Duration slack{50'000};  // what a message may be under way when a time is up
   // Where sends are seen as they arrive and answers as they leave: what may have crossed on the way.
-  Span crossing{};
-  Span drain_grace{500'000};
-  Span cold{10'000'000};
+  Duration crossing{};
+  Duration drain_grace{500'000};
+  Duration cold{10'000'000};
   double cold_from = 0.2;
   double fall_multiple = 2;
-  Span overload_for{1'000'000};
+  Duration overload_for{1'000'000};
   int cores = 1;  // of a server
-  Span further_window{10'000'000};
+  Duration further_window{10'000'000};
   double further_share = 0, further_floor = 0;
 };
 
 struct Breach {
   int rule = 0;  // 1 to 6
   std::string what;
-  Span at{};
+  Duration at{};
   std::vector<Event> trace;  // what led there, of the multiget or of the server
 };
 
@@ -91,7 +91,7 @@
   explicit Checker(const Rules& rules);
 
   void see(const Event& event);
-  void finish(Span end);  // what is still open and past its time is a breach
+  void finish(Duration end);  // what is still open and past its time is a breach
 
   const std::vector<Breach>& breaches() const { return breaches_; }  // the first of each kind, at most kKept
   std::uint64_t count(int rule) const { return counts_[static_cast<std::size_t>(rule)]; }
@@ -103,7 +103,7 @@
   struct Send {
     int number = 0;
     int server = -1;
-    Span at{};
+    Duration at{};
     bool out = true;
     bool may_have_run = true;
     bool ran = false;
@@ -112,51 +112,52 @@
     std::vector<Send> sends;
     int runs = 0;
     bool returned = false;
-    std::optional<Span> returned_at;  // none: whether the gatherer heard of it is not known
-    std::optional<Span> first_run;
+    std::optional<Duration> returned_at;  // none: whether the gatherer heard of it is not known
+    std::optional<Duration> first_run;
   };
   struct Multiget {
     int gatherer = -1;
     int op_type = 0;
     int parts = 0;
-    Span until{}, taken{}, asked_until{};
+    Duration until{}, taken{}, asked_until{};
     bool over = false;
-    Span over_at{};
+    Duration over_at{};
     int out = 0;
     std::map<int, Part> by_shard;
     std::vector<Event> trace;
   };
   struct Server {
     bool cold = false;
-    Span started{};
-    std::deque<std::pair<Span, double>> work;  // of the window
+    Duration started{};
+    std::deque<std::pair<Duration, double>> work;  // of the window
     double sum = 0;
     std::deque<Event> trace;
     bool over = false;  // reported in this window
   };
   struct Budget {
-    std::deque<Span> taken, further;
-    std::deque<Span> joined;
+    std::deque<Duration> taken, further;
+    std::deque<Duration> joined;
   };
 
-  void breach(int rule, const std::string& what, Span at, const std::vector<Event>& trace);
+  void breach(int rule, const std::string& what, Duration at, const std::vector<Event>& trace);
   void sent(const Event& event, Multiget& mg);
   void arrived(const Event& event);
   void final(const Event& event, Multiget& mg);
-  void forget(std::uint64_t id, Span at);
+  void forget(std::uint64_t id, Duration at);
   void unlearn(int gatherer);
 
   Rules rules_;
   std::unordered_map<std::uint64_t, Multiget> open_;  // looked up by id only, never walked in order
-  std::set<std::pair<Span, std::uint64_t>> due_;
-  std::deque<std::pair<Span, std::uint64_t>> lately_;  // over and forgotten, within the crossing
+  std::set<std::pair<Duration, std::uint64_t>> due_;
+  std::deque<std::pair<Duration, std::uint64_t>> lately_;  // over and forgotten, within the crossing
   std::unordered_set<std::uint64_t> over_lately_;
   std::map<int, Server> servers_;
-  std::map<std::pair<int, int>, Span> taking_nothing_;  // gatherer and server: since when it knows
-  std::map<std::pair<int, int>, Span> knows_cold_;  // server and gatherer: since when it knows of the start
+  std::map<std::pair<int, int>, Duration> taking_nothing_;  // gatherer and server: since when it knows
+  std::map<std::pair<int, int>, Duration>
+      knows_cold_;  // server and gatherer: since when it knows of the start
   std::map<int, Budget> budgets_;
   struct Stall {
-    Span since{};
+    Duration since{};
     std::vector<std::uint64_t> up;  // whose time was up meanwhile
   };
   std::map<int, Stall> stalled_;  // by gatherer
--- a/src/choice.cpp
+++ b/src/choice.cpp
@@ -36,22 +36,22 @@
 constexpr double kRounding = 1e-5;        // of weights
 constexpr double kMargin = 1.05;          // the design: the preferred replica keeps a part within 5%
 constexpr double kTieShare = 0.2;         // the design: on ties, a fifth of a shard's parts above its share
-constexpr Span kRecent = 1s;              // the design: cost recently sent decays over this
-constexpr Span kShardMemory = 10s;        // over which a shard's recent parts are counted
-constexpr Span kFlowMemory = 5s;          // over which the ordinary flow to a replica is averaged
+constexpr Duration kRecent = 1s;              // the design: cost recently sent decays over this
+constexpr Duration kShardMemory = 10s;        // over which a shard's recent parts are counted
+constexpr Duration kFlowMemory = 5s;          // over which the ordinary flow to a replica is averaged
 constexpr double kMostGood = 5;           // a long good record does not delay doubt
 constexpr double kMostBad = 8;            // nor a long bad one belief
-constexpr Span kTypeMemory = 20s;         // and that about one op type more slowly, as it is rarer
-constexpr Span kBeliefMemory = 6s;        // evidence about a replica as a whole fades over this
+constexpr Duration kTypeMemory = 20s;         // and that about one op type more slowly, as it is rarer
+constexpr Duration kBeliefMemory = 6s;        // evidence about a replica as a whole fades over this
 constexpr double kPrior = 2;              // successes that a replica is credited with
-constexpr Span kGlance = 10ms;            // how often what is in hand is looked over
+constexpr Duration kGlance = 10ms;            // how often what is in hand is looked over
 constexpr double kOverdue = 4;            // multiple of its expectation at which a send is due a copy
 constexpr double kMoved = 6;              // and at which it is moved, where no copy may go beside it
-constexpr Span kRest = 100ms;             // before a part goes round its replicas again, by its sends
+constexpr Duration kRest = 100ms;             // before a part goes round its replicas again, by its sends
 constexpr double kDoubted = 3;            // or at this, if the replica is silent when asked
-constexpr Span kSilent = 100ms;           // a look that is out for so long counts as that
+constexpr Duration kSilent = 100ms;           // a look that is out for so long counts as that
 constexpr double kPaceGain = 0.2;         // weight of the newest answer in a replica's pace
-constexpr Span kPaceMemory = 10s;         // a replica's pace drifts back to the fleet's over this
+constexpr Duration kPaceMemory = 10s;         // a replica's pace drifts back to the fleet's over this
 constexpr double kOpening = 3;            // a call to be opened counts as load at this multiple of its cost
 constexpr double kCrossing = 4;           // weight of the price of crossing zones against that of wasted work
 constexpr double kOwnFurther = 0.25;      // further sends a multiget or part taken, where no budget is stated
@@ -62,9 +62,9 @@
 constexpr double kCalmWait = 2;           // calm while answers take up to this multiple of their own work
 constexpr double kJammedWait = 4;         // and jammed from this
 constexpr double kStretchGain = 0.05;     // weight of the newest multiget in stretch, report in fleet_held
-constexpr Span kNews = 1s;                // a reported load drifts back to the fleet's over this
-constexpr Span kStale = 500ms;            // a replica with news older than this is asked before it is sent to
-constexpr Span kLook = 40ms;              // how long a multiget waits for that
+constexpr Duration kNews = 1s;                // a reported load drifts back to the fleet's over this
+constexpr Duration kStale = 500ms;            // a replica with news older than this is asked before it is sent to
+constexpr Duration kLook = 40ms;              // how long a multiget waits for that
 constexpr double kSilence = 20;           // an unanswered look stands for this multiple of the time it is out
 constexpr double kAtOnce = 2;             // parts that a replica is taken to work on at once
 constexpr double kOverbook = 4;           // of so many gatherers one uses its share of a cold replica
@@ -130,7 +130,7 @@
       all_told |= field == "active";
       unit[i] = field == "active" || field == "waiting" ? 1 : field == "cpu" && !all_told ? kAtOnce : 0;
     }
-    const Span window = contract.time("contract.resend-span", 10s);
+    const Duration window = contract.time("contract.resend-span", 10s);
     taken.set(window, now, 0);
     for (WindowCount* made : {&further, &copied}) made->set(window, now, made->at_most(now));
     by_cell.resize(static_cast<std::size_t>(cells));
@@ -203,7 +203,7 @@
 
   // ---- what is known ----
 
-  void clock(Span t) {
+  void clock(Duration t) {
     verdict_cursor = 0;
     now = t;
     planned = false;
@@ -248,7 +248,7 @@
     }
     had.resize(replicas.size() * static_cast<std::size_t>(shards), 0.0);
     forget_gone();
-    warm_counted_at = Span::min() / 2;
+    warm_counted_at = Duration::min() / 2;
     sort_by_cell();
     candidates.reserve(replicas.size());
     if (!list_remembered) {
@@ -281,7 +281,7 @@
     }
   }
 
-  void list_refused(Span most_backoff) {
+  void list_refused(Duration most_backoff) {
     watching = false;
     asked_at.reset();
     // Spread out, so that gatherers refused together do not come back together.
@@ -343,7 +343,7 @@
       part.step = mg.step;
       part.weight = ask.weight;
       part.key = ask.key;
-      part.cost = ask.hint > Span::zero() ? micros(ask.hint) : op.part_work;
+      part.cost = ask.hint > Duration::zero() ? micros(ask.hint) : op.part_work;
       part.order = next_order++;
       mg.first_part = place;
       mg.awaited = std::max(0, mg.awaited - 1);
@@ -359,7 +359,7 @@
   }
 
   // What a replica holds of all gatherers' work, from its report and from how long its answer took.
-  void hear_load(Replica& r, const LoadReport& report, Span waited) {
+  void hear_load(Replica& r, const LoadReport& report, Duration waited) {
     settle(r);
     double held = 0;
     for (std::size_t i = 0; i < unit.size(); ++i) held += unit[i] * report.value[i];
@@ -369,7 +369,7 @@
     r.news_at = now;
   }
 
-  void probe_ended(std::string_view server, Fate fate, Span elapsed, const LoadReport& report) {
+  void probe_ended(std::string_view server, Fate fate, Duration elapsed, const LoadReport& report) {
     Replica* r = replica_of(server);
     if (r == nullptr) return;
     r->asked.reset();
@@ -389,7 +389,7 @@
     r.by_type.assign(op_types.size(), r.belief);
   }
 
-  void believe(Belief& b, double good, double bad, Span memory) {
+  void believe(Belief& b, double good, double bad, Duration memory) {
     const double keep = fade(now - b.at, memory);
     b.good = std::min(kPrior + (b.good - kPrior) * keep + good, kMostGood);
     b.bad = std::min(b.bad * keep + bad, kMostBad);
@@ -406,8 +406,8 @@
   }
 
   void settle(Replica& r) {
-    const Span age = now - r.decayed_at;
-    if (age <= Span::zero()) return;
+    const Duration age = now - r.decayed_at;
+    if (age <= Duration::zero()) return;
     r.recent *= fade(age, kRecent);
     r.foreign = fleet_foreign + (r.foreign - fleet_foreign) * fade(age, kNews);
     // A replica shunned for its pace brings no news of it; without this it would be shunned for good.
@@ -421,7 +421,7 @@
     fleet_pace *= std::pow(std::clamp(ratio / fleet_pace, 0.1, 10.0), kPaceGain / 10);
   }
 
-  void send_ended(const Rid& id, int send, Fate fate, Span elapsed, const LoadReport& report) {
+  void send_ended(const Rid& id, int send, Fate fate, Duration elapsed, const LoadReport& report) {
     const int place = parts.find(id);
     if (place < 0) return;
     Part& part = parts.at(place);
@@ -483,7 +483,7 @@
   }
 
   // Where no hints come, a part's cost is the lower quartile of what an otherwise idle replica took for it.
-  void learn_work(OpType& op, const SendRecord& s, const Part& part, Span elapsed) {
+  void learn_work(OpType& op, const SendRecord& s, const Part& part, Duration elapsed) {
     if (!s.alone || part.step > 1) return;
     const double work = std::max(micros(elapsed) - call_cost, 1000.0);
     op.part_work *= work < op.part_work ? 0.95 : 1.0167;
@@ -549,7 +549,7 @@
   }
 
   // Rules 1, 2 and 5: every final answer passes here, once.
-  Verdict finish(int place, Ending ending, bool whole, Span come_back) {
+  Verdict finish(int place, Ending ending, bool whole, Duration come_back) {
     Multiget& mg = multigets.at(place);
     const OpType& op = type_of(mg);
     if (ending != Ending::answer) {
@@ -563,7 +563,7 @@
       }
       ending = harmless ? Ending::push_back : Ending::fail;
       whole = false;
-      if (!contract.flag("limits.retry-after", false) || !harmless) come_back = Span::zero();
+      if (!contract.flag("limits.retry-after", false) || !harmless) come_back = Duration::zero();
       come_back = std::min(come_back, contract.time("limits.max-retry-after", 0s));
     }
     const bool second_step_follows = ending == Ending::answer && mg.step == 1 && op.second_step > 0;
@@ -588,7 +588,7 @@
       const OpType& op = type_of(mg);
       const double need = mg.step == 1 ? op.need : 1.0;
       if (mg.awaited == 0 && mg.weight_in >= need - kRounding) {
-        return finish(place, Ending::answer, mg.step == 1 || mg.first_step_whole, Span::zero());
+        return finish(place, Ending::answer, mg.step == 1 || mg.first_step_whole, Duration::zero());
       }
       const bool late = now >= mg.taken + op.latency_budget;
       const bool closing = now >= mg.taken + op.latency_budget - kGlance - 2 * tick;
@@ -598,7 +598,7 @@
       const bool hopeless =
           possible < std::min(need, op.floor) || (possible < need && floor_in && mg.sends_out == 0);
       if (now >= mg.last_moment || hopeless || (closing && op.partial > 0 && floor_in)) {
-        return finish(place, floor_in ? Ending::answer : Ending::push_back, false, Span::zero());
+        return finish(place, floor_in ? Ending::answer : Ending::push_back, false, Duration::zero());
       }
       if (late && (op.late_share <= 0 || fleet_pace > 3)) return finish(place, Ending::push_back, false, 0s);
       if (!mg.admitted && mg.awaited == 0) {
@@ -711,7 +711,7 @@
 
   double warmth(const Replica& r) const {
     if (!r.started) return 1;
-    const Span age = std::max(now - *r.started, Span::zero());
+    const Duration age = std::max(now - *r.started, Duration::zero());
     if (age >= cold) return 1;
     return cold_from + (1 - cold_from) * (micros(age) / micros(cold));
   }
@@ -828,7 +828,7 @@
                     drawn(r.by_type[static_cast<std::size_t>(op_type)], kTypeMemory));
   }
 
-  double drawn(Belief& b, Span memory) {
+  double drawn(Belief& b, Duration memory) {
     if (b.drawn_at == now) return b.drawn;
     believe(b, 0, 0, memory);
     b.drawn_at = now;
@@ -921,7 +921,7 @@
     mg.sends_out += 1;
     had_of(part.shard, to) += had_unit;
     // Nor is it begun behind another's frame when the window of an earlier one that may have run is over.
-    Span begun_by = mg.last_moment;
+    Duration begun_by = mg.last_moment;
     for (int i = 0; i + 1 < part.sent && type_of(mg).repeat == Repeat::deduped; ++i)
       if (part.send(i).may_have_run)
         begun_by = std::min(begun_by, part.send(i).at + type_of(mg).dedupe_window);
@@ -1058,8 +1058,8 @@
     return std::exchange(note, std::nullopt);
   }
 
-  std::optional<Span> next_wake() {
-    Span want = now + (hand.empty() ? Span(200ms) : kGlance);
+  std::optional<Duration> next_wake() {
+    Duration want = now + (hand.empty() ? Duration(200ms) : kGlance);
     if (!watching && ask_from > now) want = std::min(want, ask_from);
     if (wake_set && *wake_set <= want) return std::nullopt;
     wake_set = want;
@@ -1074,7 +1074,7 @@
   int present = 1;  // op types that new multigets may have; behind them, those that some in hand still have
   int call_room = 1, cells = 1, width = 1, shards = 1, most_sends = 1, zone = 0;
   double peers = 1;
-  Span tick{}, connecting{}, cold{}, cold_window{}, warm_counted_at = Span::min() / 2;
+  Duration tick{}, connecting{}, cold{}, cold_window{}, warm_counted_at = Duration::min() / 2;
   double cold_from = 1, cold_multiple = 1, warm_ones = 0, further_free = 0, further_share = 0;
   bool copies = false, cancels = false, budgeted = false, by_work = false;
   double crossing = 0;  // load that crossing zones adds, by the part's cost
@@ -1098,7 +1098,7 @@
   std::vector<CellFlow> asked_of;  // parts by cell, faded as a shard's are
   std::vector<double> had;         // recent parts by shard and replica
   double had_unit = 1;
-  Span now{}, had_at{}, flow_at{}, own_rate_at{}, looked_at{-1h}, ask_from{}, noted_at{-1h};
+  Duration now{}, had_at{}, flow_at{}, own_rate_at{}, looked_at{-1h}, ask_from{}, noted_at{-1h};
   std::size_t verdict_cursor = 0, plan_cursor = 0;
   bool planned = false, probing = false;
   std::uint64_t next_order = 0;
@@ -1111,7 +1111,7 @@
   double warm_flow = 0;                      // own cost that warm replicas answered for, faded
   std::array<double, 4> unit{};              // parts in hand that one of each reported value stands for
   bool list_remembered = false, watching = false;
-  std::optional<Span> asked_at, wake_set;
+  std::optional<Duration> asked_at, wake_set;
   int refusals = 0;
   std::optional<std::string> note;
 };
@@ -1126,27 +1126,27 @@
   mind_->renew(terms);
 }
 
-void Choice::clock(Span now) { mind_->clock(now); }
+void Choice::clock(Duration now) { mind_->clock(now); }
 void Choice::list_opens(bool whole, bool remembered) { mind_->list_opens(whole, remembered); }
 void Choice::list_row(const ListRow& row) { mind_->list_row(row); }
 void Choice::list_closes() { mind_->list_closes(); }
-void Choice::list_refused(Span most_backoff) { mind_->list_refused(most_backoff); }
+void Choice::list_refused(Duration most_backoff) { mind_->list_refused(most_backoff); }
 void Choice::multiget_taken(const MultigetAsk& ask) { mind_->multiget_taken(ask); }
 void Choice::part_taken(const PartAsk& ask) { mind_->part_taken(ask); }
-void Choice::send_ended(const Rid& part, int send, Fate fate, Span elapsed, const LoadReport& load) {
+void Choice::send_ended(const Rid& part, int send, Fate fate, Duration elapsed, const LoadReport& load) {
   mind_->send_ended(part, send, fate, elapsed, load);
 }
 void Choice::client_left(const Rid& multiget) { mind_->client_left(multiget); }
 std::optional<Verdict> Choice::next_verdict() { return mind_->next_verdict(); }
 std::optional<Withdrawal> Choice::next_withdrawal() { return mind_->next_withdrawal(); }
 std::optional<Send> Choice::next_send() { return mind_->next_send(); }
-void Choice::probe_ended(std::string_view server, Fate fate, Span elapsed, const LoadReport& load) {
+void Choice::probe_ended(std::string_view server, Fate fate, Duration elapsed, const LoadReport& load) {
   mind_->probe_ended(server, fate, elapsed, load);
 }
 std::optional<std::string_view> Choice::next_probe() { return mind_->next_probe(); }
 std::optional<ListCall> Choice::next_list_call() { return mind_->next_list_call(); }
 std::optional<std::string> Choice::next_note() { return mind_->next_note(); }
-std::optional<Span> Choice::next_wake() { return mind_->next_wake(); }
+std::optional<Duration> Choice::next_wake() { return mind_->next_wake(); }
 std::size_t Choice::servers_known() const { return mind_->by_server.size(); }
 
 }  // namespace marbledyke
--- a/src/choice.h
+++ b/src/choice.h
@@ -25,15 +25,15 @@
   void renew(const Terms& terms);
 
   // What has become known. The clock comes first in each turn.
-  void clock(Span now);
+  void clock(Duration now);
   void list_opens(bool whole, bool remembered);
   void list_row(const ListRow& row);
   void list_closes();
-  void list_refused(Span most_backoff);  // asked for again within that
+  void list_refused(Duration most_backoff);  // asked for again within that
   void multiget_taken(const MultigetAsk& ask);
   void part_taken(const PartAsk& ask);
-  void send_ended(const Rid& part, int send, Fate fate, Span elapsed, const LoadReport& load);
-  void probe_ended(std::string_view server, Fate fate, Span elapsed, const LoadReport& load);
+  void send_ended(const Rid& part, int send, Fate fate, Duration elapsed, const LoadReport& load);
+  void probe_ended(std::string_view server, Fate fate, Duration elapsed, const LoadReport& load);
   void client_left(const Rid& multiget);
 
   // What is decided, to be pulled in this order.
@@ -43,7 +43,7 @@
   std::optional<std::string_view> next_probe();
   std::optional<ListCall> next_list_call();
   std::optional<std::string> next_note();
-  std::optional<Span> next_wake();  // from now
+  std::optional<Duration> next_wake();  // from now
 
   std::size_t servers_known() const;  // of which anything is kept
 
--- a/src/clients/eviction.cpp
+++ b/src/clients/eviction.cpp
@@ -7,12 +7,12 @@
 
 struct Rule {
   Activity activity;
-  Span (*least_age)(Span connect_timeout);
+  Duration (*least_age)(Duration connect_timeout);
 };
 
-Span none(Span) { return Span::zero(); }
-Span time_to_ask(Span) { return kTimeToAsk; }
-Span time_to_come_up(Span connect_timeout) { return connect_timeout; }
+Duration none(Duration) { return Duration::zero(); }
+Duration time_to_ask(Duration) { return kTimeToAsk; }
+Duration time_to_come_up(Duration connect_timeout) { return connect_timeout; }
 
 // In this order. Nobody loses an answer by the first three; the last two may be about to finish their
 // request, and are refused rather than closed.
@@ -24,7 +24,8 @@
 
 }  // namespace
 
-std::optional<EvictionRank> eviction_rank(Activity activity, Span since, Span now, Span connect_timeout) {
+std::optional<EvictionRank> eviction_rank(Activity activity, Duration since, Duration now,
+                                          Duration connect_timeout) {
   for (std::size_t at = 0; at < kRules.size(); ++at) {
     const Rule& rule = kRules[at];
     if (rule.activity == activity && now >= since + rule.least_age(connect_timeout))
--- a/src/clients/eviction.h
+++ b/src/clients/eviction.h
@@ -19,14 +19,15 @@
 };
 
 // Less goes first: the kind of connection, then since when it has been so.
-using EvictionRank = std::pair<int, Span>;
+using EvictionRank = std::pair<int, Duration>;
 
 // Of a connection that has been doing this since then; nothing: it is not to be ended. A silent or receiving
 // one is only old enough after a while, since an honest client's request may be on its way.
-std::optional<EvictionRank> eviction_rank(Activity activity, Span since, Span now, Span connect_timeout);
+std::optional<EvictionRank> eviction_rank(Activity activity, Duration since, Duration now,
+                                          Duration connect_timeout);
 
 // So long a connection that says nothing is left alone, however short places are. Longer than an honest
 // client on the same site needs between its connect and its request; the protocol's own slack on sockets.
-inline constexpr Span kTimeToAsk = std::chrono::milliseconds(50);
+inline constexpr Duration kTimeToAsk = std::chrono::milliseconds(50);
 
 }  // namespace marbledyke::clients
--- a/src/clients/http_front.cpp
+++ b/src/clients/http_front.cpp
@@ -18,11 +18,11 @@
 constexpr std::size_t kMostAnswer = 32 * 1024 * 1024;
 // By the protocol a connection without a request may be closed after this, and who connects is owed an error
 // or a close within a second more.
-constexpr Span kMayClose = 2s;
-constexpr Span kSweep = 100ms;  // how often these are looked at
+constexpr Duration kMayClose = 2s;
+constexpr Duration kSweep = 100ms;  // how often these are looked at
 // After the last moment at which clients connect in a planned stop the listener stays open so much longer: a
 // connect may come up late, and one that comes up as the listener closes is reset.
-constexpr Span kLateConnects = 200ms;
+constexpr Duration kLateConnects = 200ms;
 constexpr std::size_t kMostDropped = 4 * kMostBody;  // of what still comes after the last answer
 
 }  // namespace
@@ -31,8 +31,8 @@
   std::uint64_t number = 0;
   std::unique_ptr<net::Stream> stream;
   net::HttpReader reader{net::HttpReader::Kind::request, kMostBody};
-  Span first_byte{};
-  Span since{};  // its last request was answered, or is being answered; before the first: it was accepted
+  Duration first_byte{};
+  Duration since{};  // its last request was answered, or is being answered; before the first: it was accepted
   bool spoken = false;
   bool in_hand = false;    // its request waits for an answer
   bool answering = false;  // an answer is being written, or this turn has written it
@@ -241,7 +241,7 @@
   say(*at->second, answer_text(200, answer_body(whole, values), stays), stays);
 }
 
-void HttpFront::refuse(std::uint64_t number, front::Refusal why, Span come_back) {
+void HttpFront::refuse(std::uint64_t number, front::Refusal why, Duration come_back) {
   switch (why) {
     case front::Refusal::pushed_back:
       return turn_away(number, 503, "pushed back\n", come_back);
@@ -254,7 +254,7 @@
   }
 }
 
-void HttpFront::turn_away(std::uint64_t number, int status, std::string_view why, Span come_back) {
+void HttpFront::turn_away(std::uint64_t number, int status, std::string_view why, Duration come_back) {
   const auto at = callers_.find(number);
   if (at == callers_.end()) return;
   const bool stays = at->second->stays && !parting_;
@@ -309,7 +309,7 @@
 // for who comes, and none is closed at the moment at which its next request may be under way.
 void HttpFront::sweep() {
   std::vector<Caller*> idle;
-  const Span now = loop_.now();
+  const Duration now = loop_.now();
   for (auto at = callers_.begin(); at != callers_.end();) {
     Caller& caller = *(at++)->second;
     if (caller.in_hand) continue;
@@ -380,7 +380,7 @@
   for (const auto& [number, caller] : callers_) {
     if (!among(*caller)) continue;
     const Activity doing = activity(*caller);
-    const Span since = doing == Activity::receiving ? caller->first_byte : caller->since;
+    const Duration since = doing == Activity::receiving ? caller->first_byte : caller->since;
     const auto rank = eviction_rank(doing, since, loop_.now(), settings_.connect_timeout);
     if (!rank || (least && *least <= *rank)) continue;
     least = rank;
@@ -434,7 +434,7 @@
 // where the terms allow one: requests in hand keep their places for about a latency budget.
 void HttpFront::refuse_no_room(Caller& caller) {
   caller.in_hand = true;
-  const Span come_back = std::min(settings_.max_latency_budget, settings_.max_retry_after);
+  const Duration come_back = std::min(settings_.max_latency_budget, settings_.max_retry_after);
   say(caller, answer_text(503, "no room\n", false, come_back), false);
 }
 
@@ -482,7 +482,7 @@
 // each is ended in order, and what still comes is dropped, for the client to send anew elsewhere. Who has
 // only just come is about to ask for the first time; half a request from before then would keep a planned
 // stop from its end.
-void HttpFront::close_idle(Span since) {
+void HttpFront::close_idle(Duration since) {
   for (auto at = callers_.begin(); at != callers_.end();) {
     Caller& caller = *(at++)->second;
     if (caller.in_hand || caller.answering || caller.parting) continue;
--- a/src/clients/http_front.h
+++ b/src/clients/http_front.h
@@ -36,12 +36,12 @@
   ~HttpFront() override;
 
   void answer(std::uint64_t caller, bool whole, const std::vector<Value>& values) override;
-  void refuse(std::uint64_t caller, front::Refusal why, Span come_back) override;
+  void refuse(std::uint64_t caller, front::Refusal why, Duration come_back) override;
 
   void announce_stop() override;
   void close_after_answers() override;
   void stop_accepting() override;
-  void close_idle(Span since) override;
+  void close_idle(Duration since) override;
   bool release_connection() override;
   bool empty() const override { return callers_.empty() && !listener_; }  // and nobody can come
   bool is_writing() const override;
@@ -75,7 +75,7 @@
 
   void arrived(Caller& caller);
   void request(Caller& caller);
-  void turn_away(std::uint64_t caller, int status, std::string_view why, Span come_back = {});
+  void turn_away(std::uint64_t caller, int status, std::string_view why, Duration come_back = {});
   void say(Caller& caller, const std::string& text, bool stays);
   void drained(Caller& caller);
   void part(Caller& caller);
--- a/src/clients/multiget_request.cpp
+++ b/src/clients/multiget_request.cpp
@@ -54,7 +54,7 @@
   if (out.weight <= 0 || out.weight > 1 + kRounding) throw BadInput("mass: not a share");
   const std::int64_t micros = config::integer_or(from, "micros", 0);
   if (micros < 0 || micros > 3'600'000'000) throw BadInput("micros: out of range");
-  out.work_estimate = Span(micros);
+  out.work_estimate = Duration(micros);
   if (from.contains("term")) {
     const auto key = number<std::uint64_t>(config::text(from, "term"), 16);
     if (!key) throw BadInput("term: not hex digits");
@@ -141,7 +141,7 @@
   return out += "]}";
 }
 
-std::string answer_text(int status, std::string_view body, bool stays, Span come_back) {
+std::string answer_text(int status, std::string_view body, bool stays, Duration come_back) {
   const bool json = status == 200 && body.starts_with('{');
   return net::answer_text(status, json ? "application/json" : "text/plain", body, stays, come_back);
 }
--- a/src/clients/multiget_request.h
+++ b/src/clients/multiget_request.h
@@ -28,6 +28,6 @@
 std::string answer_body(bool whole, const std::vector<Value>& values);
 
 // A whole HTTP answer; come_back of zero gives no advice.
-std::string answer_text(int status, std::string_view body, bool stays, Span come_back = {});
+std::string answer_text(int status, std::string_view body, bool stays, Duration come_back = {});
 
 }  // namespace marbledyke::clients
--- a/src/config/gatherer_config.cpp
+++ b/src/config/gatherer_config.cpp
@@ -43,7 +43,9 @@
   int count(const std::string& name, double least = 1, double most = 1e6) const {
     return static_cast<int>(number(name, least, most));
   }
-  Span time(const std::string& name) const { return Span(static_cast<std::int64_t>(number(name, 1, 1e12))); }
+  Duration time(const std::string& name) const {
+    return Duration(static_cast<std::int64_t>(number(name, 1, 1e12)));
+  }
   bool has(const std::string& name) const { return contract_.has(name); }
   bool flag(const std::string& name) const { return contract_.flag(name, false); }
   std::string word(const std::string& name) const {
@@ -81,9 +83,9 @@
     const std::string need = "specifics.complete-from." + std::to_string(i);
     if (out.op_types.back().min_answer_share > (read.has(need) ? read.number(need, 0, 1) : 1.0))
       Contract::refuse("specifics.class-floor." + std::to_string(i), "is above what a whole answer needs");
-    const Span timeout = read.time(at + "deadline");
+    const Duration timeout = read.time(at + "deadline");
     out.max_route_timeout = std::max(out.max_route_timeout, timeout);
-    const Span budget = read.has(at + "objective") ? read.time(at + "objective") : timeout;
+    const Duration budget = read.has(at + "objective") ? read.time(at + "objective") : timeout;
     out.op_types.back().latency_budget = std::min(budget, timeout);
     out.max_latency_budget = std::max(out.max_latency_budget, out.op_types.back().latency_budget);
   }
@@ -97,13 +99,13 @@
   out.max_parts_per_call = read.count("specifics.bundle-max", 1, 1024);
   out.max_parts_per_connection = read.count("limits.streams-per-conn");
   out.max_pending = read.count("limits.max-open");
-  out.tick = read.has("tick") ? read.time("tick") : Span(5ms);
+  out.tick = read.has("tick") ? read.time("tick") : Duration(5ms);
   out.connect_timeout = read.time("limits.connect-timeout");
   out.idle_timeout = read.time("limits.conn-idle");
   if (read.flag("limits.retry-after") && read.has("limits.max-retry-after"))
     out.max_retry_after = read.time("limits.max-retry-after");
   out.list_polled = read.has("registry-mode") && read.word("registry-mode") == "ask";
-  out.list_poll_interval = read.has("contract.ask-every") ? read.time("contract.ask-every") : Span(20s);
+  out.list_poll_interval = read.has("contract.ask-every") ? read.time("contract.ask-every") : Duration(20s);
   return out;
 }
 
--- a/src/config/gatherer_config.h
+++ b/src/config/gatherer_config.h
@@ -21,7 +21,7 @@
   int second_step_parts = 0;    // parts that a first answer is followed by
   bool non_retriable = false;   // what may have run is never sent again
   double min_answer_share = 1;  // least share of parts for any answer
-  Span latency_budget{};        // latency budget
+  Duration latency_budget{};    // latency budget
   double importance = 1;
 };
 
@@ -35,15 +35,15 @@
   int cells = 1;
   int max_parts_per_call = 1;
   int max_parts_per_connection = 1;
-  int max_pending = 1;        // multigets and parts
-  Span max_route_timeout{};   // of the op types' route timeouts
-  Span max_latency_budget{};  // and of their latency budgets
-  Span tick{};                // what happened less than this apart may be seen in another order
-  Span connect_timeout{};
-  Span idle_timeout{};
-  Span max_retry_after{};     // the longest advice a refusal may carry; zero: it carries none
-  Span list_poll_interval{};  // how long the list may go unasked
-  bool list_polled = false;   // the module decides when; else it is watched from the start
+  int max_pending = 1;            // multigets and parts
+  Duration max_route_timeout{};   // of the op types' route timeouts
+  Duration max_latency_budget{};  // and of their latency budgets
+  Duration tick{};                // what happened less than this apart may be seen in another order
+  Duration connect_timeout{};
+  Duration idle_timeout{};
+  Duration max_retry_after{};     // the longest advice a refusal may carry; zero: it carries none
+  Duration list_poll_interval{};  // how long the list may go unasked
+  bool list_polled = false;       // the module decides when; else it is watched from the start
 };
 
 struct GathererConfig {
--- a/src/distribution/node.cpp
+++ b/src/distribution/node.cpp
@@ -19,11 +19,11 @@
 using namespace std::chrono_literals;
 using nlohmann::json;
 
-constexpr std::size_t kMostOthers = 64;           // connections of tools and peers, beside the receivers'
-constexpr std::size_t kMostMessage = 128 * 1024;  // an accept may hold two revisions at their largest
-constexpr Span kOwnLimit = kLongestWait + 5s;     // the publisher answers every call before this
-constexpr Span kWriteRetry = 1s;                  // after a revision of a peer could not be written
-constexpr std::size_t kAnswersATurn = 64;         // other callers are heard between these
+constexpr std::size_t kMostOthers = 64;            // connections of tools and peers, beside the receivers'
+constexpr std::size_t kMostMessage = 128 * 1024;   // an accept may hold two revisions at their largest
+constexpr Duration kOwnLimit = kLongestWait + 5s;  // the publisher answers every call before this
+constexpr Duration kWriteRetry = 1s;               // after a revision of a peer could not be written
+constexpr std::size_t kAnswersATurn = 64;          // other callers are heard between these
 
 std::string path_of(const std::string& target) { return target.substr(0, target.find('?')); }
 
@@ -273,7 +273,7 @@
     server->answer(due->caller, {200, body + "}"});
   }
   answering = false;
-  std::optional<Span> next = publisher.wakes();
+  std::optional<Duration> next = publisher.wakes();
   if (answered == kAnswersATurn) next = loop.now();
   if (wake) loop.cancel(*wake);
   wake.reset();
--- a/src/distribution/node_report.cpp
+++ b/src/distribution/node_report.cpp
@@ -7,7 +7,7 @@
 
 constexpr std::int64_t kMicrosecondsInMillisecond = 1000;
 
-std::int64_t milliseconds(Span span) { return span.count() / kMicrosecondsInMillisecond; }
+std::int64_t milliseconds(Duration span) { return span.count() / kMicrosecondsInMillisecond; }
 
 json refusal(const std::string& name, const ReceiverState& state) {
   return {{"name", name}, {"zone", state.zone}, {"index", state.index}, {"why", state.refused_why}};
@@ -40,7 +40,7 @@
   return out;
 }
 
-json report_of(const std::map<std::string, ReceiverState>& receivers, Span now) {
+json report_of(const std::map<std::string, ReceiverState>& receivers, Duration now) {
   json out = json::array();
   for (const auto& [name, state] : receivers) {
     out.push_back({{"name", name},
--- a/src/distribution/node_report.h
+++ b/src/distribution/node_report.h
@@ -14,7 +14,7 @@
 
 nlohmann::json report_of(const AcceptorState& state, const std::string& fleet);
 nlohmann::json report_of(const Summary& summary);
-nlohmann::json report_of(const std::map<std::string, ReceiverState>& receivers, Span now);
+nlohmann::json report_of(const std::map<std::string, ReceiverState>& receivers, Duration now);
 // A follower of the peer at that address.
 nlohmann::json report_of(const net::Address& peer, const Receiver& follower);
 
--- a/src/distribution/proposer.cpp
+++ b/src/distribution/proposer.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span kFirstBackoff =
+constexpr Duration kFirstBackoff =
     20ms;                          // some round trips between two regions, so that the other one gets through
 constexpr int kMostDoublings = 5;  // of it
 constexpr std::array<const char*, kOutcomes> kOutcomeNames{"under_way", "agreed",      "conflict",
@@ -68,10 +68,10 @@
   return out;
 }
 
-Span Proposer::backoff(double jitter) const {
-  if (phase_ != Phase::waiting) return Span::zero();
-  const Span longest = kFirstBackoff * (1 << std::min(rounds_ - 1, kMostDoublings));
-  return std::chrono::duration_cast<Span>(longest * (0.5 + std::clamp(jitter, 0.0, 1.0)));
+Duration Proposer::backoff(double jitter) const {
+  if (phase_ != Phase::waiting) return Duration::zero();
+  const Duration longest = kFirstBackoff * (1 << std::min(rounds_ - 1, kMostDoublings));
+  return std::chrono::duration_cast<Duration>(longest * (0.5 + std::clamp(jitter, 0.0, 1.0)));
 }
 
 void Proposer::begin_round() {
--- a/src/distribution/proposer.h
+++ b/src/distribution/proposer.h
@@ -56,7 +56,7 @@
   std::optional<Message> next();
   // After a lost round: how long to wait before begin_round() is called; zero: nothing to wait for.
   // `jitter` is a random share from 0 to 1. A late answer may end the waiting.
-  Span backoff(double jitter) const;
+  Duration backoff(double jitter) const;
   void begin_round();  // does nothing unless it waits for one
   void replied(std::size_t voter, const Reply& reply);
   void failed(std::size_t voter);  // no answer within its limit, or none that could be read
--- a/src/distribution/publisher.cpp
+++ b/src/distribution/publisher.cpp
@@ -5,12 +5,12 @@
 namespace marbledyke::distribution {
 namespace {
 
-constexpr Span kForgetEvery{1'000'000};  // going through all receivers costs by their number
+constexpr Duration kForgetEvery{1'000'000};  // going through all receivers costs by their number
 constexpr std::size_t kMostRefusing = 64;
 
 }  // namespace
 
-void Publisher::tick(Span now) {
+void Publisher::tick(Duration now) {
   now_ = std::max(now_, now);
   if (now_ - forgot_ >= kForgetEvery) forget();
   while (!agenda_.empty() && agenda_.begin()->first <= now_) {
@@ -49,7 +49,7 @@
     heard(call);
   }
   left(caller);
-  const Span until = now_ + std::clamp(call.wait, Span::zero(), kLongestWait);
+  const Duration until = now_ + std::clamp(call.wait, Duration::zero(), kLongestWait);
   const auto at = waiting_.emplace(caller, Waiting{call, until, until}).first;
   agenda_.emplace(until, caller);
   consider(caller, at->second);
@@ -87,7 +87,7 @@
 }
 
 // From when on the caller may be given a revision.
-Span Publisher::free_from(const WatchCall& call) const {
+Duration Publisher::free_from(const WatchCall& call) const {
   if (call.role == CallerRole::node) return now_;
   const auto at = receivers_.find(call.receiver);
   return at == receivers_.end() ? now_ : at->second.given + kRevisionSpacing;
@@ -96,7 +96,7 @@
 // Answers the call, or sets when it is looked at next.
 void Publisher::consider(Caller caller, Waiting& waiting) {
   const Revision* const revision = revision_for(waiting.call);
-  const Span free = revision != nullptr ? free_from(waiting.call) : waiting.until;
+  const Duration free = revision != nullptr ? free_from(waiting.call) : waiting.until;
   if (revision != nullptr && free <= now_) return answer(caller, waiting, revision);
   if (waiting.until <= now_) return answer(caller, waiting, nullptr);
   agenda_.erase({waiting.look, caller});
@@ -124,7 +124,7 @@
   return out;
 }
 
-std::optional<Span> Publisher::wakes() const {
+std::optional<Duration> Publisher::wakes() const {
   if (agenda_.empty()) return std::nullopt;
   return agenda_.begin()->first;
 }
--- a/src/distribution/publisher.h
+++ b/src/distribution/publisher.h
@@ -18,12 +18,12 @@
 namespace marbledyke::distribution {
 
 inline constexpr std::size_t kMostReceivers = 4096;
-inline constexpr Span kLongestWait{10'000'000};        // of a call
-inline constexpr Span kRevisionSpacing{500'000};       // a receiver is given no two revisions within this
-inline constexpr Span kReceiverForgotten{60'000'000};  // one not heard of for so long
+inline constexpr Duration kLongestWait{10'000'000};        // of a call
+inline constexpr Duration kRevisionSpacing{500'000};       // a receiver is given no two revisions within this
+inline constexpr Duration kReceiverForgotten{60'000'000};  // one not heard of for so long
 // One not heard of for so long is cut off, or calls another node: two calls of a receiver with their
 // patience.
-inline constexpr Span kReceiverAbsent{8'000'000};
+inline constexpr Duration kReceiverAbsent{8'000'000};
 
 // Who calls. A control node that follows this one is given the newest revision whatever its share, and is not
 // counted among the receivers.
@@ -36,7 +36,7 @@
   std::string digest;          // of that revision
   std::int64_t refused = 0;    // the newest revision that it refused; 0: none
   std::string refused_why;     // names the key, at most 200 characters; a longer one is cut
-  Span wait{};
+  Duration wait{};
 };
 inline constexpr std::size_t kMostName = 64;
 inline constexpr std::size_t kMostRefusedWhy = 200;
@@ -55,9 +55,9 @@
   std::string zone;
   std::int64_t index = 0, refused = 0;
   std::string refused_why;
-  Span heard{};     // last
-  Span in_force{};  // when it first told that it runs `index`
-  Span given{};     // when it was last given a revision
+  Duration heard{};     // last
+  Duration in_force{};  // when it first told that it runs `index`
+  Duration given{};     // when it was last given a revision
 };
 
 struct Summary {
@@ -67,7 +67,7 @@
   std::vector<std::pair<std::string, ReceiverState>> refusing;  // of the newest, 64 at most
   // From learning the newest until all receivers that it is meant for ran it, of those heard within
   // kReceiverAbsent.
-  std::optional<Span> everywhere_after;
+  std::optional<Duration> everywhere_after;
   std::uint64_t calls = 0, revisions_given = 0, bytes_given = 0;
 };
 
@@ -78,13 +78,13 @@
     Caller caller;
     WatchAnswer answer;
   };
-  void tick(Span now);
+  void tick(Duration now);
   void chosen(const Revision& revision);  // older ones change nothing
   // False: too many receivers; the host answers 503.
   bool called(Caller caller, const WatchCall& call);
   void left(Caller caller);
-  std::optional<Due> next();          // answers that are due
-  std::optional<Span> wakes() const;  // when tick() is needed next
+  std::optional<Due> next();              // answers that are due
+  std::optional<Duration> wakes() const;  // when tick() is needed next
   Summary summary() const;
   std::int64_t newest() const { return newest_ ? newest_->index : 0; }
   const std::map<std::string, ReceiverState>& receivers() const { return receivers_; }
@@ -93,27 +93,27 @@
  private:
   struct Waiting {
     WatchCall call;
-    Span until{};  // the end of its wait
-    Span look{};   // its entry in agenda_
+    Duration until{};  // the end of its wait
+    Duration look{};   // its entry in agenda_
   };
 
   const Revision* revision_for(const WatchCall& call) const;
-  Span free_from(const WatchCall& call) const;
+  Duration free_from(const WatchCall& call) const;
   void consider(Caller caller, Waiting& waiting);
   void answer(Caller caller, const Waiting& waiting, const Revision* revision);
   void heard(const WatchCall& call);
   void look_whether_everywhere();
   void forget();
 
-  Span now_{};
+  Duration now_{};
   std::optional<Revision> newest_;
   // Before the newest, where that is for a share only: what the others are to run. Not kept over a restart.
   std::optional<Revision> for_all_;
-  Span learned_{};  // when the newest was
-  std::optional<Span> everywhere_after_;
-  Span forgot_{};  // when the receivers were last gone through
+  Duration learned_{};  // when the newest was
+  std::optional<Duration> everywhere_after_;
+  Duration forgot_{};  // when the receivers were last gone through
   std::map<Caller, Waiting> waiting_;
-  std::set<std::pair<Span, Caller>> agenda_;  // when each waiting call is looked at next
+  std::set<std::pair<Duration, Caller>> agenda_;  // when each waiting call is looked at next
   std::map<std::string, ReceiverState> receivers_;
   std::deque<Due> due_;
   std::uint64_t calls_ = 0, revisions_given_ = 0, bytes_given_ = 0;
--- a/src/distribution/receiver.cpp
+++ b/src/distribution/receiver.cpp
@@ -37,8 +37,8 @@
   return false;
 }
 
-Span Receiver::jittered(Span least, Span most) {
-  return Span(std::uniform_int_distribution<std::int64_t>(least.count(), most.count())(chance_));
+Duration Receiver::jittered(Duration least, Duration most) {
+  return Duration(std::uniform_int_distribution<std::int64_t>(least.count(), most.count())(chance_));
 }
 
 std::optional<ReceiverAct> Receiver::next() {
@@ -49,10 +49,10 @@
 }
 
 void Receiver::start() {
-  if (!order_.empty()) rest(jittered(Span::zero(), kStartSpread));
+  if (!order_.empty()) rest(jittered(Duration::zero(), kStartSpread));
 }
 
-void Receiver::rest(Span wait) {
+void Receiver::rest(Duration wait) {
   phase_ = ReceiverPhase::resting;
   if (place_ != 0) away_ += wait;
   acts_.push_back({ReceiverAct::Rest{wait}});
@@ -71,9 +71,9 @@
   out.digest = held_ ? held_->digest : "";
   out.refused = refused_;
   out.refused_why = refused_why_;
-  out.wait = probing_ ? Span::zero() : jittered(kCallWait * 4 / 5, kCallWait);
+  out.wait = probing_ ? Duration::zero() : jittered(kCallWait * 4 / 5, kCallWait);
   if (place_ != 0) away_ += out.wait;
-  const Span patience = out.wait + kCallPatience;
+  const Duration patience = out.wait + kCallPatience;
   acts_.push_back({ReceiverAct::Call{node(), std::move(out), patience}});
 }
 
@@ -155,9 +155,9 @@
     move_to((place_ + 1) % order_.size());
   }
   probing_ = true;
-  const Span most = std::min(2 * kFirstRetry * (1 << std::min(failures_in_a_row_, 8)), kLongestRetry);
+  const Duration most = std::min(2 * kFirstRetry * (1 << std::min(failures_in_a_row_, 8)), kLongestRetry);
   failures_in_a_row_ += 1;
-  rest(jittered(Span::zero(), most));
+  rest(jittered(Duration::zero(), most));
 }
 
 void Receiver::move_to(std::size_t place) {
@@ -167,7 +167,7 @@
 }
 
 void Receiver::plan_return() {
-  away_ = Span::zero();
+  away_ = Duration::zero();
   return_after_ = jittered(return_wait_ / 2, return_wait_ * 3 / 2);
 }
 
--- a/src/distribution/receiver.h
+++ b/src/distribution/receiver.h
@@ -17,17 +17,17 @@
 
 namespace marbledyke::distribution {
 
-inline constexpr Span kCallWait{3'000'000};      // a call that nothing new ends is answered after this
-inline constexpr Span kCallPatience{1'000'000};  // beyond its wait; then the node counts as silent
+inline constexpr Duration kCallWait{3'000'000};      // a call that nothing new ends is answered after this
+inline constexpr Duration kCallPatience{1'000'000};  // beyond its wait; then the node counts as silent
 // The mean wait after a failure, doubled with each failure in a row; drawn from zero to twice the mean.
-inline constexpr Span kFirstRetry{100'000};
-inline constexpr Span kLongestRetry{2'000'000};  // that is drawn
-inline constexpr Span kStartSpread{1'000'000};   // all receivers of a fleet may be started at one moment
+inline constexpr Duration kFirstRetry{100'000};
+inline constexpr Duration kLongestRetry{2'000'000};  // that is drawn
+inline constexpr Duration kStartSpread{1'000'000};   // all receivers of a fleet may be started at one moment
 // Between an answer without news and the next call: a node that does not wait is not called faster than this.
-inline constexpr Span kPause{50'000};
+inline constexpr Duration kPause{50'000};
 // At another node than its first choice until it tries one that it prefers; doubled while those are away.
-inline constexpr Span kFirstReturn{30'000'000};
-inline constexpr Span kLongestReturn{240'000'000};
+inline constexpr Duration kFirstReturn{30'000'000};
+inline constexpr Duration kLongestReturn{240'000'000};
 
 enum class ReceiverPhase { resting, calling, applying };
 enum class ReceiverEvent { rested, answered, failed, silent, applied, refused };
@@ -36,13 +36,13 @@
   struct Call {
     std::size_t node;
     WatchCall call;
-    Span patience;  // from now on; then the host tells silent()
+    Duration patience;  // from now on; then the host tells silent()
   };
   struct Apply {
     Revision revision;
   };
   struct Rest {
-    Span wait;  // then the host tells rested()
+    Duration wait;  // then the host tells rested()
   };
   std::variant<Call, Apply, Rest> what;
 };
@@ -83,8 +83,8 @@
 
  private:
   bool takes(ReceiverEvent event);
-  Span jittered(Span least, Span most);
-  void rest(Span wait);
+  Duration jittered(Duration least, Duration most);
+  void rest(Duration wait);
   void call();
   void call_after_probe();
   void offered(const Revision& revision);
@@ -109,9 +109,9 @@
   bool probing_ = true;       // the call that is out or comes next does not wait: is that node there?
   bool node_behind_ = false;  // its last answer named an older revision than held_
   // Returning to a node that it prefers: counted in the time of its own calls and rests.
-  Span away_{};          // at nodes beyond its first choice, since the last try
-  Span return_after_{};  // how long it stays away until the next try
-  Span return_wait_ = kFirstReturn;
+  Duration away_{};          // at nodes beyond its first choice, since the last try
+  Duration return_after_{};  // how long it stays away until the next try
+  Duration return_wait_ = kFirstReturn;
   std::size_t returns_ = 0;               // tries without success
   std::optional<std::size_t> came_from_;  // while it tries: the place to go back to
   std::string last_failure_;
--- a/src/distribution/receiver_client.cpp
+++ b/src/distribution/receiver_client.cpp
@@ -156,7 +156,7 @@
   timer_.reset();
 }
 
-void ReceiverClient::set_timer(Span wait, std::function<void()> then) {
+void ReceiverClient::set_timer(Duration wait, std::function<void()> then) {
   if (timer_) loop_.cancel(*timer_);
   timer_ = loop_.at(loop_.now() + wait, [this, then = std::move(then)] {
     timer_.reset();
--- a/src/distribution/receiver_client.h
+++ b/src/distribution/receiver_client.h
@@ -48,7 +48,7 @@
   void tell_damaged(const std::string& why);
   void tell_failed(const std::string& why);
   void end_call();
-  void set_timer(Span wait, std::function<void()> then);
+  void set_timer(Duration wait, std::function<void()> then);
 
   net::Loop& loop_;
   std::vector<net::Address> nodes_;
--- a/src/distribution/watch_messages.cpp
+++ b/src/distribution/watch_messages.cpp
@@ -87,7 +87,7 @@
     call.digest = name_of(value, "digest");
   } else if (key == "wait") {
     const std::int64_t most = kLongestWait.count() / kMicrosecondsInMillisecond;
-    call.wait = Span(std::min(number_of(value, "wait"), most) * kMicrosecondsInMillisecond);
+    call.wait = Duration(std::min(number_of(value, "wait"), most) * kMicrosecondsInMillisecond);
   } else if (key == "refused") {
     call.refused = number_of(value, "refused");
   } else if (key == "why") {
--- a/src/emulator/clients.cpp
+++ b/src/emulator/clients.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 constexpr int kMostRetriesKept = 8;
-Span span_of(double s) { return Span(static_cast<std::int64_t>(std::llround(s * 1e6))); }
+Duration span_of(double s) { return Duration(static_cast<std::int64_t>(std::llround(s * 1e6))); }
 }  // namespace
 
 Clients::Clients(const scenario::Scenario& scenario, std::uint32_t seed, Result& result)
@@ -22,11 +22,11 @@
   std::iota(pool_.begin(), pool_.end(), 0);
 }
 
-Second& Clients::second(Span now) {
+Second& Clients::second(Duration now) {
   return result_.seconds[std::min(result_.seconds.size() - 1, static_cast<std::size_t>(seconds(now)))];
 }
 
-std::uint32_t Clients::asks(Span now) {
+std::uint32_t Clients::asks(Duration now) {
   std::uint32_t i = 0;
   if (free_.empty()) {
     i = static_cast<std::uint32_t>(clients_.size());
@@ -50,7 +50,7 @@
   return i;
 }
 
-void Clients::tries(std::uint32_t i, Span now) {
+void Clients::tries(std::uint32_t i, Duration now) {
   Client& client = clients_[i];
   client.tries += 1;
   client.serial += 1;
@@ -77,10 +77,10 @@
   return std::uniform_real_distribution<double>(0, 1)(chance_);
 }
 
-void Clients::answered(std::uint32_t i, Span now) {
+void Clients::answered(std::uint32_t i, Duration now) {
   const Client& client = clients_[i];
   const OpLoad& op = op_of(i);
-  const Span took = now - client.first;
+  const Duration took = now - client.first;
   const bool good = took <= op.budget;
   (good ? second(now).good : second(now).late) += 1;
   if (client.counted) {
@@ -91,13 +91,14 @@
   forget(i);
 }
 
-void Clients::left(std::uint32_t i, Span now) {
+void Clients::left(std::uint32_t i, Duration now) {
   second(now).left += 1;
   if (clients_[i].counted) result_.unanswered += 1;
   forget(i);
 }
 
-std::optional<Span> Clients::not_served(std::uint32_t i, Span come_back, bool pushed_back, Span now) {
+std::optional<Duration> Clients::not_served(std::uint32_t i, Duration come_back, bool pushed_back,
+                                            Duration now) {
   const Client& client = clients_[i];
   (pushed_back ? second(now).pushed_back : second(now).failed) += 1;
   // A failed multiget of a non-retriable kind may have run: nobody asks for it again.
@@ -122,7 +123,7 @@
   result_.good_rate = static_cast<double>(result_.good) / seconds(s_.length - s_.settle);
   std::sort(took_.begin(), took_.end());
   const auto quantile = [&](double q) {
-    return took_.empty() ? Span{}
+    return took_.empty() ? Duration{}
                          : took_[std::min(took_.size() - 1,
                                           static_cast<std::size_t>(q * static_cast<double>(took_.size())))];
   };
--- a/src/emulator/clients.h
+++ b/src/emulator/clients.h
@@ -13,7 +13,7 @@
 namespace marbledyke::emulator {
 
 struct Client {
-  Span first{}, deadline{};
+  Duration first{}, deadline{};
   int op = 0, tries = 0;
   std::uint32_t serial = 0;  // of the try that is open
   int gatherer = -1;
@@ -31,8 +31,8 @@
     return s_.op_types[static_cast<std::size_t>(clients_[i].op)];
   }
 
-  std::uint32_t asks(Span now);  // a new one, of an op type drawn
-  void tries(std::uint32_t i, Span now);
+  std::uint32_t asks(Duration now);  // a new one, of an op type drawn
+  void tries(std::uint32_t i, Duration now);
   std::size_t one_of(std::size_t count) { return chance_() % count; }
   // Distinct shards for the parts of its try, drawn evenly.
   std::vector<int> shards(std::uint32_t i);
@@ -40,13 +40,13 @@
   std::optional<double> leaves();
 
   // How a try ended. What is answered or given up is forgotten.
-  void answered(std::uint32_t i, Span now);
-  void left(std::uint32_t i, Span now);
+  void answered(std::uint32_t i, Duration now);
+  void left(std::uint32_t i, Duration now);
   // So long until it tries again; none: it has given up.
-  std::optional<Span> not_served(std::uint32_t i, Span come_back, bool pushed_back, Span now);
+  std::optional<Duration> not_served(std::uint32_t i, Duration come_back, bool pushed_back, Duration now);
 
-  bool counts(Span now) const { return now >= s_.settle && now <= s_.length; }
-  Second& second(Span now);
+  bool counts(Duration now) const { return now >= s_.settle && now <= s_.length; }
+  Second& second(Duration now);
   void finish();  // shares and quantiles of what was counted
 
  private:
@@ -59,7 +59,7 @@
   std::vector<Client> clients_;
   std::vector<std::uint32_t> free_;
   std::vector<int> pool_;
-  std::vector<Span> took_;
+  std::vector<Duration> took_;
   double asked_worth_ = 0, good_worth_ = 0;
 };
 
--- a/src/emulator/distribution.cpp
+++ b/src/emulator/distribution.cpp
@@ -8,9 +8,9 @@
 using namespace std::chrono_literals;
 using namespace distribution;
 
-constexpr Span kShortestDelay = 1ms;  // of a message
-constexpr Span kLongestDelay = 5ms;
-constexpr Span kLongestApply = 20ms;
+constexpr Duration kShortestDelay = 1ms;  // of a message
+constexpr Duration kLongestDelay = 5ms;
+constexpr Duration kLongestApply = 20ms;
 
 }  // namespace
 
@@ -32,7 +32,7 @@
   std::unique_ptr<Publisher> publisher = std::make_unique<Publisher>();
   std::map<std::uint64_t, Watcher*> callers;  // by call
   std::vector<Watcher*> followers;
-  std::optional<Span> wake;
+  std::optional<Duration> wake;
 };
 
 struct DistributionWorld::Watcher {
@@ -42,7 +42,7 @@
   std::unique_ptr<Receiver> receiver;
   bool cut = false, gone = false;
   std::uint64_t call = 0, rest = 0;  // that is out
-  Span patience{};
+  Duration patience{};
   std::int64_t applied = 0;  // the highest index ever
 };
 
@@ -70,10 +70,12 @@
 
 DistributionWorld::~DistributionWorld() = default;
 
-void DistributionWorld::at(Span when, std::function<void()> what) { events_.emplace(when, std::move(what)); }
+void DistributionWorld::at(Duration when, std::function<void()> what) {
+  events_.emplace(when, std::move(what));
+}
 
-Span DistributionWorld::delay() {
-  return Span(
+Duration DistributionWorld::delay() {
+  return Duration(
       std::uniform_int_distribution<std::int64_t>(kShortestDelay.count(), kLongestDelay.count())(chance_));
 }
 
@@ -104,8 +106,8 @@
   }
 }
 
-void DistributionWorld::run_for(Span time) {
-  const Span until = now_ + time;
+void DistributionWorld::run_for(Duration time) {
+  const Duration until = now_ + time;
   while (!events_.empty() && events_.begin()->first <= until) {
     now_ = std::max(now_, events_.begin()->first);
     const auto what = std::move(events_.begin()->second);
@@ -115,8 +117,8 @@
   now_ = until;
 }
 
-std::optional<Span> DistributionWorld::run_until(Span limit, const std::function<bool()>& holds) {
-  const Span from = now_;
+std::optional<Duration> DistributionWorld::run_until(Duration limit, const std::function<bool()>& holds) {
+  const Duration from = now_;
   while (!holds()) {
     if (now_ - from >= limit) return std::nullopt;
     run_for(10ms);
@@ -178,7 +180,7 @@
 }
 
 void DistributionWorld::apply(Watcher& watcher, const Revision& revision) {
-  const Span takes(std::uniform_int_distribution<std::int64_t>(0, kLongestApply.count())(chance_));
+  const Duration takes(std::uniform_int_distribution<std::int64_t>(0, kLongestApply.count())(chance_));
   at(now_ + takes, [this, &watcher, revision] {
     if (watcher.gone) return;
     if (refusals_.contains({watcher.number, revision.index})) {
@@ -312,7 +314,7 @@
   return out;
 }
 
-std::size_t DistributionWorld::most_calls_in_100_ms(Span since) const {
+std::size_t DistributionWorld::most_calls_in_100_ms(Duration since) const {
   std::size_t most = 0;
   auto first = std::lower_bound(calls_.begin(), calls_.end(), since);
   for (auto last = first; last != calls_.end(); ++last) {
--- a/src/emulator/distribution.h
+++ b/src/emulator/distribution.h
@@ -31,10 +31,10 @@
   DistributionWorld(const DistributionWorld&) = delete;
   DistributionWorld& operator=(const DistributionWorld&) = delete;
 
-  Span now() const { return now_; }
-  void run_for(Span time);
+  Duration now() const { return now_; }
+  void run_for(Duration time);
   // Until it holds, asked every 10 ms; how long that took, or none where the limit came first.
-  std::optional<Span> run_until(Span limit, const std::function<bool()>& holds);
+  std::optional<Duration> run_until(Duration limit, const std::function<bool()>& holds);
 
   enum class Stop { none, before_telling };  // `before_telling`: on its disk, and killed at once
   void learn(std::size_t node, const distribution::Revision& revision, Stop stop = Stop::none);
@@ -53,13 +53,13 @@
   std::uint64_t older() const { return older_; }  // applied after a newer one
   std::uint64_t impossible() const;               // events at receivers that cannot come
   // The most calls that began within any 100 ms from `since` on.
-  std::size_t most_calls_in_100_ms(Span since) const;
+  std::size_t most_calls_in_100_ms(Duration since) const;
 
  private:
   struct Node;
   struct Watcher;  // a receiver, or a node's follower of a peer
-  void at(Span when, std::function<void()> what);
-  Span delay();
+  void at(Duration when, std::function<void()> what);
+  Duration delay();
   Watcher& add_watcher(distribution::Receiver::Identity identity, std::vector<std::size_t> nodes,
                        std::size_t preferred, std::optional<distribution::Revision> held, std::size_t region);
   void carry_out(Watcher& watcher);
@@ -75,14 +75,14 @@
 
   Options options_;
   std::mt19937 chance_;
-  Span now_{};
-  std::multimap<Span, std::function<void()>> events_;
+  Duration now_{};
+  std::multimap<Duration, std::function<void()>> events_;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::vector<std::unique_ptr<Watcher>> watchers_;  // the receivers come first
   std::set<std::pair<std::size_t, std::int64_t>> refusals_;
   bool regions_cut_ = false;
   std::uint64_t next_call_ = 1, older_ = 0;
-  std::vector<Span> calls_;  // when each of a receiver began
+  std::vector<Duration> calls_;  // when each of a receiver began
 };
 
 }  // namespace marbledyke::emulator
--- a/src/emulator/keepers.cpp
+++ b/src/emulator/keepers.cpp
@@ -9,7 +9,7 @@
 using keeper::Minder;
 
 namespace {
-constexpr Span kWallAtStart = 1'700'000'000s;
+constexpr Duration kWallAtStart = 1'700'000'000s;
 }
 
 EmulatedKeeper::EmulatedKeeper(const keeper::Policy& policy, std::map<std::string, EmulatedVersion> versions,
@@ -88,7 +88,7 @@
   for (const auto& process : processes_) {
     if (!process || !process->serving || process->stops_at || process->frozen) continue;
     const Behaviour& b = of(process->settings).behaviour;
-    const Span age = now_ - process->begun;
+    const Duration age = now_ - process->begun;
     if ((b.hangs_after && age >= *b.hangs_after) || (b.mute_after && age >= *b.mute_after)) continue;
     return process->settings;
   }
@@ -167,7 +167,7 @@
 
 void EmulatedKeeper::step() {
   now_ += kKeeperStep;
-  own_ += Span(static_cast<std::int64_t>(static_cast<double>(kKeeperStep.count()) * rate_));
+  own_ += Duration(static_cast<std::int64_t>(static_cast<double>(kKeeperStep.count()) * rate_));
   if (serves()) served_ += kKeeperStep;
   const bool hears = minder_ && !paused_;
   if (hears) {
@@ -184,7 +184,7 @@
     auto& process = processes_[static_cast<std::size_t>(slot)];
     if (!process) continue;
     const Behaviour b = of(process->settings).behaviour;
-    const Span age = now_ - process->begun;
+    const Duration age = now_ - process->begun;
     const bool hangs = process->frozen || (b.hangs_after && age >= *b.hangs_after);
     if (b.ends_after && age >= *b.ends_after) {
       end(slot, "status 3");
--- a/src/emulator/keepers.h
+++ b/src/emulator/keepers.h
@@ -16,19 +16,19 @@
 
 namespace marbledyke::emulator {
 
-inline constexpr Span kKeeperStep{50'000};
+inline constexpr Duration kKeeperStep{50'000};
 
 // What a version's process does.
 struct Behaviour {
-  Span starts_in{100'000};  // from its begin until it serves
+  Duration starts_in{100'000};  // from its begin until it serves
   bool never_serves = false;
-  std::optional<Span> ends_after;   // from its begin
-  std::optional<Span> hangs_after;  // says nothing any more
-  std::optional<Span> mute_after;   // takes multigets and ends none
-  bool refuses_settings = false;    // at a start, and when it reads them
-  bool needs_start = false;         // its settings cannot all be taken while running
+  std::optional<Duration> ends_after;   // from its begin
+  std::optional<Duration> hangs_after;  // says nothing any more
+  std::optional<Duration> mute_after;   // takes multigets and ends none
+  bool refuses_settings = false;        // at a start, and when it reads them
+  bool needs_start = false;             // its settings cannot all be taken while running
   bool heeds_term = true;
-  Span stop_takes{900'000};
+  Duration stop_takes{900'000};
 };
 
 struct EmulatedVersion {
@@ -63,7 +63,7 @@
   // At the n-th act from now the keeper is killed, before it is carried out.
   void kill_at_act(int n) { kill_at_ = n; }
 
-  Span now() const { return now_; }
+  Duration now() const { return now_; }
   bool keeper_alive() const { return minder_ != nullptr; }
   const keeper::Minder* minder() const { return minder_.get(); }
   const keeper::Kept& kept() const { return disk_; }  // as it is on the disk
@@ -76,7 +76,7 @@
   }
   // Of the process that serves; empty where none does.
   std::string serving_version() const;
-  Span served() const { return served_; }
+  Duration served() const { return served_; }
 
   std::function<void(const std::string& what)> told;  // of each act
   Told processes_told;
@@ -88,9 +88,9 @@
   struct Process {
     std::string version;   // its program's
     std::string settings;  // the version whose settings it has
-    Span begun{};
+    Duration begun{};
     bool serving = false, said = false, frozen = false;
-    std::optional<Span> stops_at;
+    std::optional<Duration> stops_at;
     bool read_pending = false;
     std::uint64_t alive_by = 0;
   };
@@ -106,14 +106,14 @@
   std::map<std::string, EmulatedVersion> versions_;
   std::mt19937 chance_;
   double rate_ = 1;
-  Span now_{}, own_{}, next_window_{};  // own: the keeper's clock
+  Duration now_{}, own_{}, next_window_{};  // own: the keeper's clock
   std::array<std::optional<Process>, keeper::kSlots> processes_;
   std::unique_ptr<keeper::Minder> minder_;
   keeper::Kept disk_;
   std::string linked_;
   bool paused_ = false, disk_full_ = false;
   int kill_at_ = -1;
-  Span served_{};
+  Duration served_{};
   std::string broken_;
   std::vector<std::pair<int, std::string>> ended_while_paused_;
 };
--- a/src/emulator/policy.cpp
+++ b/src/emulator/policy.cpp
@@ -16,17 +16,17 @@
 class Module final : public Policy {
  public:
   Module(const Terms& terms, std::uint32_t seed) : choice_(terms, seed) {}
-  void clock(Span now) override { choice_.clock(now); }
+  void clock(Duration now) override { choice_.clock(now); }
   void list_opens(bool whole, bool remembered) override { choice_.list_opens(whole, remembered); }
   void list_row(const ListRow& row) override { choice_.list_row(row); }
   void list_closes() override { choice_.list_closes(); }
-  void list_refused(Span most_backoff) override { choice_.list_refused(most_backoff); }
+  void list_refused(Duration most_backoff) override { choice_.list_refused(most_backoff); }
   void multiget_taken(const MultigetAsk& ask) override { choice_.multiget_taken(ask); }
   void part_taken(const PartAsk& ask) override { choice_.part_taken(ask); }
-  void send_ended(const Rid& part, int send, Fate fate, Span elapsed, const LoadReport& load) override {
+  void send_ended(const Rid& part, int send, Fate fate, Duration elapsed, const LoadReport& load) override {
     choice_.send_ended(part, send, fate, elapsed, load);
   }
-  void probe_ended(std::string_view server, Fate fate, Span elapsed, const LoadReport& load) override {
+  void probe_ended(std::string_view server, Fate fate, Duration elapsed, const LoadReport& load) override {
     choice_.probe_ended(server, fate, elapsed, load);
   }
   void client_left(const Rid& multiget) override { choice_.client_left(multiget); }
@@ -35,7 +35,7 @@
   std::optional<Send> next_send() override { return choice_.next_send(); }
   std::optional<std::string_view> next_probe() override { return choice_.next_probe(); }
   std::optional<ListCall> next_list_call() override { return choice_.next_list_call(); }
-  std::optional<Span> next_wake() override {
+  std::optional<Duration> next_wake() override {
     while (choice_.next_note()) {
     }
     return choice_.next_wake();
@@ -62,7 +62,7 @@
     by_cell_.resize(static_cast<std::size_t>(cells_));
   }
 
-  void clock(Span now) override { now_ = now; }
+  void clock(Duration now) override { now_ = now; }
   void list_opens(bool whole, bool) override {
     if (!whole) return;
     servers_.clear();
@@ -80,7 +80,7 @@
     }
     watching_ = asked_;  // the list of the start is a remembered one
   }
-  void list_refused(Span) override { watching_ = asked_ = false; }
+  void list_refused(Duration) override { watching_ = asked_ = false; }
 
   void multiget_taken(const MultigetAsk& ask) override {
     Multiget& mg = multigets_[ask.id];
@@ -98,7 +98,7 @@
     mg.parts.emplace(ask.id, part);
     waiting_.push_back({whole, ask.id});
   }
-  void send_ended(const Rid& id, int send, Fate fate, Span, const LoadReport&) override {
+  void send_ended(const Rid& id, int send, Fate fate, Duration, const LoadReport&) override {
     Rid whole = id;
     std::fill_n(whole.text.begin() + 12, 4, '0');
     const auto at = multigets_.find(whole);
@@ -127,7 +127,7 @@
     }
     changed_.push_back(whole);
   }
-  void probe_ended(std::string_view, Fate, Span, const LoadReport&) override {}
+  void probe_ended(std::string_view, Fate, Duration, const LoadReport&) override {}
   void client_left(const Rid& id) override { multigets_.erase(id); }
 
   std::optional<Verdict> next_verdict() override {
@@ -189,7 +189,7 @@
     asked_ = true;
     return ListCall::watch;
   }
-  std::optional<Span> next_wake() override {
+  std::optional<Duration> next_wake() override {
     if (wake_ > now_) return std::nullopt;
     wake_ = now_ + 20ms;
     return 20ms;
@@ -204,7 +204,7 @@
     ListRow row;
     std::uint64_t hash = 0;
     double in_flight = 0, recent = 0;
-    Span recent_at{};
+    Duration recent_at{};
   };
   struct Part {
     int shard = 0, sent = 0;
@@ -215,7 +215,7 @@
   struct Multiget {
     int op = 0, awaited = 0, in = 0;
     bool failed = false;
-    Span until{};
+    Duration until{};
     std::map<Rid, Part> parts;
   };
   using Waiting = std::deque<std::pair<Rid, Rid>>;
@@ -283,7 +283,7 @@
   std::mt19937 chance_;
   std::vector<Op> ops_;
   int most_sends_ = 1, cells_ = 1;
-  Span now_{}, wake_ = Span::min() / 2, ask_again_{};
+  Duration now_{}, wake_ = Duration::min() / 2, ask_again_{};
   bool watching_ = false, asked_ = false, sorted_ = false;
   std::size_t next_ = 0;
   std::map<std::string, Server, std::less<>> servers_;
--- a/src/emulator/policy.h
+++ b/src/emulator/policy.h
@@ -15,22 +15,22 @@
 class Policy {
  public:
   virtual ~Policy() = default;
-  virtual void clock(Span now) = 0;
+  virtual void clock(Duration now) = 0;
   virtual void list_opens(bool whole, bool remembered) = 0;
   virtual void list_row(const ListRow& row) = 0;
   virtual void list_closes() = 0;
-  virtual void list_refused(Span most_backoff) = 0;
+  virtual void list_refused(Duration most_backoff) = 0;
   virtual void multiget_taken(const MultigetAsk& ask) = 0;
   virtual void part_taken(const PartAsk& ask) = 0;
-  virtual void send_ended(const Rid& part, int send, Fate fate, Span elapsed, const LoadReport& load) = 0;
-  virtual void probe_ended(std::string_view server, Fate fate, Span elapsed, const LoadReport& load) = 0;
+  virtual void send_ended(const Rid& part, int send, Fate fate, Duration elapsed, const LoadReport& load) = 0;
+  virtual void probe_ended(std::string_view server, Fate fate, Duration elapsed, const LoadReport& load) = 0;
   virtual void client_left(const Rid& multiget) = 0;
   virtual std::optional<Verdict> next_verdict() = 0;
   virtual std::optional<Withdrawal> next_withdrawal() = 0;
   virtual std::optional<Send> next_send() = 0;
   virtual std::optional<std::string_view> next_probe() = 0;
   virtual std::optional<ListCall> next_list_call() = 0;
-  virtual std::optional<Span> next_wake() = 0;
+  virtual std::optional<Duration> next_wake() = 0;
 };
 
 // "module", then the baselines: "random", "round-robin", "least-in-flight", "two-choices", and "bare-design",
--- a/src/emulator/rollouts.h
+++ b/src/emulator/rollouts.h
@@ -29,7 +29,7 @@
 struct Flaw {
   double bad = 0;               // more not answered in time
   int op_type = -1, zone = -1;  // only there; -1: everywhere
-  Span after{};                 // only so long after a process's start
+  Duration after{};             // only so long after a process's start
   double others = 0;  // it takes from the old ones: they lose so much times the share of new ones, it nothing
 };
 
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -33,13 +33,14 @@
 using scenario::Scenario;
 using scenario::Shape;
 
-constexpr Span kFrontNotices = 1s;    // the front leaves a dead gatherer out after this
-constexpr Span kCrashListed = 1s;     // the list service finds a crashed server out after this
-constexpr Span kVanishedListed = 3s;  // and one that vanished
-constexpr Span kListWay = 1ms;        // a call to the list, each way
-constexpr Span kTurn = 1ms;  // a gatherer's turns are so far apart at least: what comes meanwhile shares one
+constexpr Duration kFrontNotices = 1s;    // the front leaves a dead gatherer out after this
+constexpr Duration kCrashListed = 1s;     // the list service finds a crashed server out after this
+constexpr Duration kVanishedListed = 3s;  // and one that vanished
+constexpr Duration kListWay = 1ms;        // a call to the list, each way
+constexpr Duration kTurn =
+    1ms;  // a gatherer's turns are so far apart at least: what comes meanwhile shares one
 
-Span span_of(double s) { return Span(static_cast<std::int64_t>(std::llround(s * 1e6))); }
+Duration span_of(double s) { return Duration(static_cast<std::int64_t>(std::llround(s * 1e6))); }
 
 enum class Kind : std::uint8_t {
   arrive,
@@ -67,7 +68,7 @@
 };
 
 struct Ev {
-  Span at{};
+  Duration at{};
   std::uint64_t order = 0;
   Kind kind = Kind::turn;
   std::uint32_t a = 0;
@@ -85,7 +86,7 @@
   std::uint64_t multiget = 0;
   int shard = 0, send = 0, server = 0, op = 0;
   std::uint32_t server_life = 0;
-  Span pulled{}, written{}, not_past{}, queued{};
+  Duration pulled{}, written{}, not_past{}, queued{};
   double work = 0;       // seconds on one core
   double told_work = 0;  // as gatherers are told
   bool told = false, arrived = false, running = false, queued_now = false, done = false, cancelled = false,
@@ -96,14 +97,14 @@
 struct Connection {
   bool open = false;
   std::uint32_t life = 0;  // of the server it leads to
-  Span ready{}, heard{};
+  Duration ready{}, heard{};
 };
 
 struct ServerState {
   std::string name;
   int zone = 0, cell = 0;
   bool alive = true, vanished = false, paused = false, refusing = false, disturbed = false;
-  std::optional<Span> started;  // cold since
+  std::optional<Duration> started;  // cold since
   std::uint32_t life = 1;
   double slow = 1, errors = 0, lose_in = 0, lose_out = 0;
   int busy = 0;
@@ -111,7 +112,7 @@
   double worked = 0;
   std::uint64_t ran = 0;
   Standing listed = Standing::up;
-  std::optional<Span> listed_start;
+  std::optional<Duration> listed_start;
 };
 
 struct PieceState {
@@ -136,9 +137,9 @@
   bool leaving = false;  // takes nothing new: another process has followed it
   std::uint32_t life = 1;
   bool turn_set = false, subscribed = false;
-  Span turned = Span::min() / 2;  // the latest turn
-  std::size_t version = 0;        // of the list's changes it has
-  std::size_t told = 0;           // up to which a telling is under way
+  Duration turned = Duration::min() / 2;  // the latest turn
+  std::size_t version = 0;                // of the list's changes it has
+  std::size_t told = 0;                   // up to which a telling is under way
   std::map<std::uint32_t, InHand> hand;
   std::uint32_t next_number = 1;
   int held = 0;
@@ -147,7 +148,7 @@
   struct ProbeEnd {
     int server;
     Fate fate;
-    Span elapsed;
+    Duration elapsed;
     LoadReport report;
   };
   std::vector<ProbeEnd> probed;
@@ -160,16 +161,16 @@
 struct Machine {
   int lead = 0;                                     // among the gatherers' processes
   int list_cut = 0, path_lost = 0, keeper_off = 0;  // faults of that kind under way
-  Span path_delay{};
+  Duration path_delay{};
   std::unique_ptr<EmulatedKeeper> keeper;  // decides as the shipped one does
   std::uint64_t orders = 0;
   bool second = false;  // the version in force
 };
 
-constexpr Span kStarts =
+constexpr Duration kStarts =
     40ms;  // a process, from its begin until it serves: 43 ms after SIGKILL were measured
-constexpr Span kStillTaking = 400ms;  // then one that was told to stop takes nothing new
-constexpr Span kPausedLook = 20ms;
+constexpr Duration kStillTaking = 400ms;  // then one that was told to stop takes nothing new
+constexpr Duration kPausedLook = 20ms;
 
 // As the lab starts keepers of staged scenarios (lab::Kept).
 keeper::Policy kept_policy() {
@@ -198,7 +199,7 @@
 struct Probe {
   int gatherer = 0, server = 0;
   std::uint32_t gatherer_life = 0;
-  Span at{};
+  Duration at{};
   bool over = false;
   LoadReport report;
 };
@@ -206,7 +207,7 @@
 struct Change {
   int server = 0;
   Standing standing = Standing::up;
-  std::optional<Span> started;
+  std::optional<Duration> started;
 };
 
 class World {
@@ -226,7 +227,7 @@
     // A keeper has two processes at most; none moves, since events refer to them by reference within a turn.
     const auto count = static_cast<std::size_t>(s_.gatherers.count);
     gatherers_.resize(count * (s_.gatherers.kept ? 2 : 1));
-    died_.resize(gatherers_.size(), Span::min() / 2);
+    died_.resize(gatherers_.size(), Duration::min() / 2);
     machine_of_.resize(gatherers_.size());
     paused_.resize(gatherers_.size());
     machines_.resize(count);
@@ -267,7 +268,7 @@
  private:
   // ---- the clock ----
 
-  void at(Span when, Kind kind, std::uint32_t a, std::uint64_t b = 0) {
+  void at(Duration when, Kind kind, std::uint32_t a, std::uint64_t b = 0) {
     queue_.push({std::max(when, now_), order_++, kind, a, b});
   }
 
@@ -327,7 +328,7 @@
   void note(Event event) {
     event.at = now_;
     if (options_.tamper) options_.tamper(event);
-    if (event.at < Span::zero()) return;  // tampered away
+    if (event.at < Duration::zero()) return;  // tampered away
     // FNV-1a over what the event says.
     const auto mix = [&](std::uint64_t value) {
       for (int i = 0; i < 8; ++i) {
@@ -376,7 +377,7 @@
                                    cut_zones_[static_cast<std::size_t>(server.zone)] > 0);
   }
 
-  Span delay(int gatherer, const ServerState& server) {
+  Duration delay(int gatherer, const ServerState& server) {
     const bool near = gatherers_[static_cast<std::size_t>(gatherer)].zone == server.zone;
     const double mean = seconds(near ? s_.network.near : s_.network.far);
     const double drawn = s_.network.jitter > 0 ? std::exponential_distribution<double>(1)(network_) : 0;
@@ -427,7 +428,7 @@
   }
 
   // Gives the send its fate after so long; the first one counts.
-  void tell(std::uint32_t i, Fate fate, Span after) {
+  void tell(std::uint32_t i, Fate fate, Duration after) {
     SendState& send = sends_[i];
     if (send.done) return;
     send.done = true;
@@ -448,7 +449,7 @@
     keep(i);  // until it is told
     keep(i);
     at(send.not_past, Kind::expire, i, send.generation);
-    const Span way = delay(g, server);
+    const Duration way = delay(g, server);
     if (!connection.open) {
       const bool silent =
           server.vanished || cut_between(g, server) || lost(server.lose_in) || lost(server.lose_out);
@@ -469,7 +470,7 @@
   void arrive(std::uint32_t i) {
     SendState& send = sends_[i];
     ServerState& server = servers_[static_cast<std::size_t>(send.server)];
-    const Span way = delay(send.gatherer, server);
+    const Duration way = delay(send.gatherer, server);
     if (server.vanished) return let_go(i);
     if (!server.alive || server.life != send.server_life) {
       tell(i, Fate::dropped, way);
@@ -495,7 +496,7 @@
     let_go(i);
   }
 
-  void answer(std::uint32_t i, Fate fate, Span way) {
+  void answer(std::uint32_t i, Fate fate, Duration way) {
     ServerState& server = servers_[static_cast<std::size_t>(sends_[i].server)];
     if (server.vanished || cut_between(sends_[i].gatherer, server) || lost(server.lose_out)) return;
     tell(i, fate, way);
@@ -650,7 +651,7 @@
     set_turn(number);
   }
 
-  void row(GathererState& g, int server, Standing standing, std::optional<Span> started) {
+  void row(GathererState& g, int server, Standing standing, std::optional<Duration> started) {
     const ServerState& of = servers_[static_cast<std::size_t>(server)];
     ListRow out;
     out.server = of.name;
@@ -661,7 +662,7 @@
     g.policy->list_row(out);
   }
 
-  void learned(int gatherer, int server, Standing standing, std::optional<Span> started) {
+  void learned(int gatherer, int server, Standing standing, std::optional<Duration> started) {
     Event event;
     event.cold = started && started == servers_[static_cast<std::size_t>(server)].started;
     event.what = What::learned;
@@ -799,7 +800,8 @@
       send.server = static_cast<int>(std::strtol(std::string(pulled->server.substr(1)).c_str(), nullptr, 10));
       send.op = mg.op;
       send.pulled = now_;
-      send.not_past = pulled->not_past > Span::zero() ? pulled->not_past : clients_.at(mg.client).deadline;
+      send.not_past =
+          pulled->not_past > Duration::zero() ? pulled->not_past : clients_.at(mg.client).deadline;
       send.work = scenario::drawn_work(op, options_.seed, mg.uid, piece);
       send.told_work = seconds(op.work);
       mg.out += 1;
@@ -860,7 +862,7 @@
     const ServerState& to = servers_[static_cast<std::size_t>(server)];
     at(now_ + s_.network.connect_timeout, Kind::probe_end, i, static_cast<std::uint64_t>(Fate::expired));
     if (to.vanished || cut_between(number, to) || lost(to.lose_in)) return;
-    const Span way = delay(number, to);
+    const Duration way = delay(number, to);
     if (!to.alive)
       return at(now_ + 2 * way, Kind::probe_end, i, static_cast<std::uint64_t>(Fate::dial_failed));
     at(now_ + way, Kind::probe_arrive, i);
@@ -971,7 +973,7 @@
     note(event);
     g.taken.push_back(client.number);
     set_turn(number);
-    Span ends = client.deadline;
+    Duration ends = client.deadline;
     if (const auto share = clients_.leaves()) ends = now_ + span_of(seconds(op.timeout) * *share);
     at(ends, Kind::client_ends, i, client.serial);
   }
@@ -997,7 +999,7 @@
     clients_.answered(i, now_);
   }
 
-  void not_served(std::uint32_t i, Span come_back, bool pushed_back) {
+  void not_served(std::uint32_t i, Duration come_back, bool pushed_back) {
     if (const auto wait = clients_.not_served(i, come_back, pushed_back, now_))
       at(now_ + *wait, Kind::retry, i);
   }
@@ -1018,7 +1020,7 @@
     }
     const std::vector<int> of = scenario::targets(s_, fault, trouble_);
     for (std::size_t k = 0; k < of.size(); ++k) {
-      const Span later = fault.step * static_cast<std::int64_t>(k);
+      const Duration later = fault.step * static_cast<std::int64_t>(k);
       at(fault.from + later, Kind::fault_step, i, static_cast<std::uint64_t>(of[k]));
       at(fault.until + later, Kind::fault_ends, i, static_cast<std::uint64_t>(of[k]));
     }
@@ -1138,7 +1140,7 @@
     }
   }
 
-  void listed_later(int server, Standing standing, Span after, bool cold = false) {
+  void listed_later(int server, Standing standing, Duration after, bool cold = false) {
     at(now_ + after, Kind::server_listed, static_cast<std::uint32_t>(server),
        static_cast<std::uint64_t>(standing) | (cold ? 4U : 0U));
   }
@@ -1320,12 +1322,12 @@
   checker::Checker checker_;
   Result result_;
   Clients clients_;
-  Span now_{};
+  Duration now_{};
   std::uint64_t order_ = 0, uids_ = 0, digest_ = 0xcbf29ce484222325ULL;
   std::priority_queue<Ev, std::vector<Ev>, std::greater<>> queue_;
   std::vector<ServerState> servers_;
   std::vector<GathererState> gatherers_;
-  std::vector<Span> died_;
+  std::vector<Duration> died_;
   std::vector<int> machine_of_, paused_;  // by process
   std::vector<Machine> machines_;
   std::vector<SendState> sends_;
--- a/src/emulator/world.h
+++ b/src/emulator/world.h
@@ -36,9 +36,9 @@
   double wasted = 0;     // share of that work whose answer nobody used
   double wait_mean = 0;  // seconds a part waited at a server before it began
   double imbalance = 0;  // largest over mean number of parts among servers that were sound throughout
-  Span median{}, p90{}, p99{}, p999{};  // of answered ones, from the first try
-  std::vector<Second> seconds;          // all of them, the settling time too
-  std::vector<double> server_used;      // by server
+  Duration median{}, p90{}, p99{}, p999{};  // of answered ones, from the first try
+  std::vector<Second> seconds;              // all of them, the settling time too
+  std::vector<double> server_used;          // by server
   std::uint64_t events = 0;
   std::uint64_t digest = 0;  // of the whole event log
   std::vector<checker::Breach> breaches;
--- a/src/fleet/configuration.cpp
+++ b/src/fleet/configuration.cpp
@@ -45,12 +45,12 @@
 }
 
 // Until every keeper of the fleet that it is meant for runs it, or a newer one.
-bool wait_until_everywhere(net::Loop& loop, const Fleet& fleet, std::int64_t index, Span limit) {
+bool wait_until_everywhere(net::Loop& loop, const Fleet& fleet, std::int64_t index, Duration limit) {
   loop.read_clock();
-  const Span from = loop.now();
+  const Duration from = loop.now();
   for (;;) {
     const Spread spread = look(loop, fleet);
-    const Span passed = loop.now() - from;
+    const Duration passed = loop.now() - from;
     if (spread.newest && spread.newest->index > index) {
       std::cout << "a newer one came: " << name(spread.newest) << std::endl;
       return true;
@@ -91,7 +91,7 @@
   const std::optional<Revision> result = agreement.result();
   if (outcome != Outcome::agreed || !result) return exit_of(outcome);
   std::cout << told_to(agreement.tell_all(*result), fleet.control_nodes.size()) << std::endl;
-  if (what.wait <= Span::zero()) return kExitAgreed;
+  if (what.wait <= Duration::zero()) return kExitAgreed;
   return wait_until_everywhere(loop, fleet, result->index, what.wait) ? kExitAgreed : kExitConflict;
 }
 
--- a/src/fleet/talk.cpp
+++ b/src/fleet/talk.cpp
@@ -25,7 +25,7 @@
 }
 
 void Talk::call(const net::Address& to, const std::string& method, const std::string& target,
-                const std::string& body, Span limit, Told told) {
+                const std::string& body, Duration limit, Told told) {
   Waiting what{to,
                method + " " + target + " HTTP/1.1\r\nHost: keeper\r\nConnection: close\r\nContent-Length: " +
                    std::to_string(body.size()) + "\r\n\r\n" + body,
--- a/src/fleet/talk.h
+++ b/src/fleet/talk.h
@@ -35,7 +35,7 @@
 
   // Told once, in a later turn. The limit counts from when the call begins.
   void call(const net::Address& to, const std::string& method, const std::string& target,
-            const std::string& body, Span limit, Told told);
+            const std::string& body, Duration limit, Told told);
   std::size_t out() const { return calls_.size() + waiting_.size(); }
 
  private:
@@ -43,7 +43,7 @@
   struct Waiting {
     net::Address to;
     std::string bytes;
-    Span limit;
+    Duration limit;
     Told told;
   };
   void begin(Waiting what);
--- a/src/front/front.h
+++ b/src/front/front.h
@@ -17,7 +17,7 @@
   int shard = 0;
   double weight = 0;  // share of the whole answer; those of a multiget add up to 1
   std::uint64_t key = 0;
-  Span work_estimate{};  // of the work; zero: none
+  Duration work_estimate{};  // of the work; zero: none
 };
 
 // A client's multiget. Its id is unique among those in hand, and of characters that a frame's line may hold.
@@ -25,7 +25,7 @@
   std::string id;
   int op_type = 0;
   int customer = -1;             // none that the terms name
-  Span client_timeout{};         // from when the client sent it
+  Duration client_timeout{};     // from when the client sent it
   bool is_client_retry = false;  // the client says that it has tried before
   std::vector<Part> parts;
   std::shared_ptr<const std::string> text;  // what every part carries
@@ -35,7 +35,7 @@
 struct Request {
   std::uint64_t caller = 0;  // the front's own number for who waits for the answer; never 0
   Multiget multiget;
-  Span first_byte_at{};  // its first byte was here then
+  Duration first_byte_at{};  // its first byte was here then
 };
 
 struct Value {
@@ -56,13 +56,13 @@
 
   // The final answer to a multiget; whoever has left meanwhile is passed over.
   virtual void answer(std::uint64_t caller, bool whole, const std::vector<Value>& values) = 0;
-  virtual void refuse(std::uint64_t caller, Refusal why, Span come_back) = 0;
+  virtual void refuse(std::uint64_t caller, Refusal why, Duration come_back) = 0;
 
   // A planned stop, in this order.
   virtual void announce_stop() = 0;  // says so to who asks whether this gatherer serves
   virtual void stop_accepting() = 0;
   virtual void close_after_answers() = 0;  // from now on each connection is closed after its answer
-  virtual void close_idle(Span since) = 0;
+  virtual void close_idle(Duration since) = 0;
 
   virtual bool release_connection() = 0;  // ends the connection that can best be spared
   virtual bool empty() const = 0;  // no client is connected; in a planned stop also: none can come any more
--- a/src/gatherer/gatherer.cpp
+++ b/src/gatherer/gatherer.cpp
@@ -15,20 +15,20 @@
 using namespace std::chrono_literals;
 
 // New connections keep coming for up to 0.4 s after a planned stop begins, by the protocol.
-constexpr Span kStillComing = 400ms;
+constexpr Duration kStillComing = 400ms;
 // And the end by force no sooner than the longest route timeout, taken as this where it is longer, and so
 // much more.
-constexpr Span kLongestStop = 3s;
-constexpr Span kBeforeForce = 700ms;
+constexpr Duration kLongestStop = 3s;
+constexpr Duration kBeforeForce = 700ms;
 // Of that so much is kept for the last answers' way: the signal may be read late, an answer waits up to
 // kSlack and a tick for sends that are under way, and then it has to be written.
-constexpr Span kLastAnswers = 200ms;
+constexpr Duration kLastAnswers = 200ms;
 // And of these so much for answers that clients have not read yet: the end of the process would cut them.
-constexpr Span kSlowReaders = 150ms;
+constexpr Duration kSlowReaders = 150ms;
 // The protocol's limits are so much longer on sockets; that long a send may be under way.
-constexpr Span kSlack = 50ms;
+constexpr Duration kSlack = 50ms;
 // Later than that what was due may miss a latency budget; an ordinary turn takes well under a millisecond.
-constexpr Span kLongTurn = 20ms;
+constexpr Duration kLongTurn = 20ms;
 // What this program itself holds open: three standard streams, epoll, signals, the listener, discovery twice,
 // a file that is read again.
 constexpr int kOwnDescriptors = 9;
@@ -46,7 +46,7 @@
              : 0;
 }
 
-list::News read_known(const config::GathererConfig& gatherer_config, Span unix_start) {
+list::News read_known(const config::GathererConfig& gatherer_config, Duration unix_start) {
   try {
     return list::read_news(gatherer_config.known_list, gatherer_config.settings, unix_start);
   } catch (const config::BadInput& wrong) {
@@ -69,7 +69,7 @@
                client_room(gatherer_config, known_servers(gatherer_config)), std::move(listening)),
       watch_(loop_, gatherer_config, unix_start_,
              {[this](list::News news) { news_.push_back(std::move(news)); },
-              [this](Span most_backoff) { refusals_.push_back(most_backoff); }}),
+              [this](Duration most_backoff) { refusals_.push_back(most_backoff); }}),
       hand_(static_cast<std::size_t>(gatherer_config.settings.max_pending)) {
   loop_.tell_long_turns(kLongTurn, [this](const net::Loop::Turn& turn) {
     long_turns_.write({{"ms", turn.took / 1ms}, {"processor_ms", turn.processor / 1ms}, {"in_hand", open_}});
@@ -153,7 +153,7 @@
     for (front::Front* one : fronts_) one->close_idle(loop_.now() - kStillComing);
   }
   // Whoever does not close by then is not waited for; whoever still reads its answer, for a moment.
-  if (open_ == 0 && loop_.now() >= *leave_by_ + (writing() ? kSlowReaders : Span::zero())) return false;
+  if (open_ == 0 && loop_.now() >= *leave_by_ + (writing() ? kSlowReaders : Duration::zero())) return false;
   return open_ > 0 || !no_clients();
 }
 
@@ -261,7 +261,7 @@
   woken_ = false;
   choice_.clock(loop_.now());
   for (list::News& news : std::exchange(news_, {})) list_came(std::move(news));
-  for (const Span most_backoff : std::exchange(refusals_, {})) {
+  for (const Duration most_backoff : std::exchange(refusals_, {})) {
     choice_.list_refused(most_backoff);
     // Where the list is pushed nobody decides to ask for it; the connection that brings it is kept up here.
     if (!gatherer_config_.settings.list_polled)
@@ -435,7 +435,7 @@
   done_.sent += 1;
   held_ += 1;
   log::event(log::Level::debug, "multiget.taken", {{"multiget", mg.wire_id}, {"caller", asked.caller}});
-  const Span client_leaves = asked.first_byte_at + ask.client_timeout;
+  const Duration client_leaves = asked.first_byte_at + ask.client_timeout;
   mg.until = leave_by_ ? std::min(client_leaves, *leave_by_) : client_leaves;
   choice_.multiget_taken({id, static_cast<double>(number), ask.op_type, ask.customer,
                           static_cast<int>(mg.pieces.size()), mg.until, ask.is_client_retry});
@@ -540,11 +540,11 @@
 void Gatherer::decided(const Verdict& verdict) {
   InHand* mg = hand_of(verdict.multiget);
   if (!check_invariant(mg != nullptr && !mg->over, "one final answer for each multiget")) return;
-  const Span newest = std::max(mg->out > 0 ? mg->last_send : mg->last_given, mg->last_given);
-  const Span silent = servers_.silent_until();
-  const Span clear = (mg->out > 0 ? std::max(newest, silent) : newest) + kSlack;
+  const Duration newest = std::max(mg->out > 0 ? mg->last_send : mg->last_given, mg->last_given);
+  const Duration silent = servers_.silent_until();
+  const Duration clear = (mg->out > 0 ? std::max(newest, silent) : newest) + kSlack;
   if (loop_.now() > clear) return answered(*mg, verdict);
-  const Span tick = loop_.now() + gatherer_config_.settings.tick;
+  const Duration tick = loop_.now() + gatherer_config_.settings.tick;
   loop_.at(verdict.ending == Ending::answer ? std::max(tick, clear) : tick, [this, verdict] {
     InHand* late = hand_of(verdict.multiget);
     if (late != nullptr && !late->over) answered(*late, verdict);
@@ -560,7 +560,7 @@
   front::Front& its = *fronts_[mg.front];
   over(mg);
   if (totals::OpTypeCounts* count = counted(mg)) {
-    const Span took = loop_.now() - mg.began;
+    const Duration took = loop_.now() - mg.began;
     if (verdict.ending == Ending::answer) {
       count->answered += 1;
       count->whole += verdict.whole ? 1 : 0;
--- a/src/gatherer/gatherer.h
+++ b/src/gatherer/gatherer.h
@@ -61,7 +61,7 @@
     int shard = 0;
     double mass = 0;
     std::uint64_t key = 0;
-    Span hint{};
+    Duration hint{};
     int sent = 0;
     bool returned = false;
     double score = 0;
@@ -75,22 +75,22 @@
     std::size_t front = 0;
     std::uint64_t caller = 0;  // 0 once it has its final answer or its client has left
     std::string wire_id;
-    Span until{};         // what the module was told: its final answer comes before
+    Duration until{};     // what the module was told: its final answer comes before
     int second_step = 0;  // by the settings it was taken under, as is the next
     bool once = false;
     int step = 1;
     bool first_whole = false;
     bool over = false;
-    int out = 0;                        // sends
-    Span last_send = Span::min() / 2;   // when the newest was pulled
-    Span last_given = Span::min() / 2;  // and the newest that was given up without an answer
+    int out = 0;                                // sends
+    Duration last_send = Duration::min() / 2;   // when the newest was pulled
+    Duration last_given = Duration::min() / 2;  // and the newest that was given up without an answer
     std::size_t first_of_step = 0;
     std::vector<Piece> pieces;  // of both steps
     std::shared_ptr<const std::string> text;
     std::string from;  // the shards that the second step is from
     // For the record only, empty without one.
     std::string op_type;
-    Span began{}, budget{};
+    Duration began{}, budget{};
   };
 
   // What is counted while somebody is told.
@@ -133,7 +133,7 @@
   config::GathererConfig& gatherer_config_;
   net::Address discovery_;  // the one of the newest configuration
   net::Loop loop_;
-  Span unix_start_;
+  Duration unix_start_;
   Choice choice_;
   servers::Servers servers_;
   std::vector<std::unique_ptr<carrier::Carrier>> carriers_;
@@ -150,9 +150,9 @@
   std::map<std::string, Rid, std::less<>> by_wire_id_;
   std::vector<Rid> second_steps_;  // whose parts the module is told of in the next turn
   std::vector<list::News> news_;
-  std::vector<Span> refusals_;  // of the list; within what each is asked for again
+  std::vector<Duration> refusals_;  // of the list; within what each is asked for again
   bool woken_ = true;
-  std::optional<Span> leave_by_;  // in a planned stop: when all must be over
+  std::optional<Duration> leave_by_;  // in a planned stop: when all must be over
   bool accepting_ = true, parting_ = false;
   Taken done_;
   log::RateLimitedEvent long_turns_{log::Level::warning, "gatherer.long_turn"};
--- a/src/keeper/keeper.cpp
+++ b/src/keeper/keeper.cpp
@@ -23,8 +23,8 @@
 using namespace std::chrono_literals;
 using nlohmann::json;
 
-constexpr Span kBeat = 50ms;
-constexpr Span kHealthEvery = 1s, kHealthWithin = 1s;
+constexpr Duration kBeat = 50ms;
+constexpr Duration kHealthEvery = 1s, kHealthWithin = 1s;
 constexpr std::size_t kMostState = 64 * 1024;
 constexpr std::int64_t kRecentMs = 10'000;
 constexpr std::uint64_t kLeastRoom = 16'000'000;  // bytes, for what it writes of its own
--- a/src/keeper/keeper.h
+++ b/src/keeper/keeper.h
@@ -92,7 +92,7 @@
   std::unique_ptr<net::Stream> health_;
   std::vector<std::unique_ptr<net::Stream>> graves_;
   bool health_said_ = false;
-  Span health_next_{};
+  Duration health_next_{};
   std::int64_t since_ms_ = 0;
   std::string state_wrong_, write_wrong_;  // why the kept state could not be read, or written
   std::optional<net::Loop::Timer> beat_;
--- a/src/keeper/minder.cpp
+++ b/src/keeper/minder.cpp
@@ -231,7 +231,7 @@
 const char* name_of(Swap swap) { return kSwapNames[place(swap)]; }
 const char* name_of(Will will) { return kWillNames[place(will)]; }
 
-Minder::Minder(const Policy& policy, Kept kept, Span now, Span wall, double jitter)
+Minder::Minder(const Policy& policy, Kept kept, Duration now, Duration wall, double jitter)
     : policy_(policy), kept_(std::move(kept)), now_(now), wall_(wall), last_tick_(now), jitter_(jitter) {}
 
 // ---- what it finds at its start ----
@@ -279,8 +279,8 @@
     return bring_back(Swap::back_reading, Swap::back_beside);
   }
   if (kept_.outcome == Outcome::on_trial && swapping) {
-    const Span ran =
-        std::clamp(wall_ - Span(std::chrono::milliseconds(kept_.since_ms)), Span::zero(), kept_.order->trial);
+    const Duration ran = std::clamp(wall_ - Duration(std::chrono::milliseconds(kept_.since_ms)),
+                                    Duration::zero(), kept_.order->trial);
     trial_until_ = now_ + kept_.order->trial - ran;
     swap_ = Swap::trial;
     swap_since_ = now_;
@@ -303,7 +303,7 @@
   return verdict;
 }
 
-Kept Minder::with(const Kept& kept, const Order& order, Span wall) {
+Kept Minder::with(const Kept& kept, const Order& order, Duration wall) {
   Kept out = kept;
   if (order.kind == Kind::use) {
     // What was on trial is not what one goes back to.
@@ -452,7 +452,7 @@
   Health out;
   out.runs = one.life != Life::none;
   out.healthy = out.runs && one.life != Life::starting && now_ - one.healthy <= policy_.silent_after;
-  if (!out.runs || one.asked == Span{}) return out;
+  if (!out.runs || one.asked == Duration{}) return out;
   const bool hears = now_ - one.heard <= policy_.silent_after;
   out.answers = hears && (one.ended >= one.asked || now_ - one.mute_since < policy_.mute_after)
                     ? Health::Answers::yes
@@ -462,15 +462,15 @@
 
 // ---- time ----
 
-void Minder::tick(Span now, Span wall) {
-  const Span gap = now - last_tick_;
+void Minder::tick(Duration now, Duration wall) {
+  const Duration gap = now - last_tick_;
   now_ = now;
   wall_ = wall;
   last_tick_ = now;
   if (gap > policy_.late) {
     // This process stood still; what it did not hear meanwhile says nothing about the gatherer.
     for (One& one : lives_) {
-      for (Span* when : {&one.since, &one.heard, &one.healthy, &one.mute_since}) *when += gap;
+      for (Duration* when : {&one.since, &one.heard, &one.healthy, &one.mute_since}) *when += gap;
     }
     swap_since_ += gap;
     if (sound_now_) sound_since_ += gap;
@@ -479,12 +479,12 @@
     const One& one = at(slot);
     if (one.life == Life::serving && !sound(one)) on(slot, LifeEvent::silent);
     if (one.life == Life::hung && sound(one)) on(slot, LifeEvent::speaks);
-    const Span limit = one.life == Life::starting                             ? policy_.start_limit
-                       : one.life == Life::hung                               ? policy_.hung_limit
-                       : one.life == Life::stopping                           ? policy_.stop_limit
-                       : one.life == Life::killed || one.life == Life::felled ? policy_.kill_limit
-                                                                              : Span::max();
-    if (limit != Span::max() && now_ - one.since >= limit) on(slot, LifeEvent::limit);
+    const Duration limit = one.life == Life::starting                             ? policy_.start_limit
+                           : one.life == Life::hung                               ? policy_.hung_limit
+                           : one.life == Life::stopping                           ? policy_.stop_limit
+                           : one.life == Life::killed || one.life == Life::felled ? policy_.kill_limit
+                                                                                  : Duration::max();
+    if (limit != Duration::max() && now_ - one.since >= limit) on(slot, LifeEvent::limit);
   }
   if (will_ == Will::resting && now_ >= rest_until_) on(WillEvent::rested);
   const One& lead = at(lead_);
@@ -494,7 +494,7 @@
   if (swap_ == Swap::proving || swap_ == Swap::back_proving) {
     const std::string& wants = swap_ == Swap::proving ? target_.configuration : former_.configuration;
     // One that was asked has to have ended something, too.
-    const bool answers = lead.asked == Span{} || lead.ended >= lead.asked;
+    const bool answers = lead.asked == Duration{} || lead.ended >= lead.asked;
     const bool is = lead.life == Life::serving && sound(lead) && answers && lead.configuration == wants;
     if (is && !sound_now_) sound_since_ = now_;
     sound_now_ = is;
@@ -640,15 +640,15 @@
     case WillDo::rest: {
       // The first start after a sound life is at once; each further one in a row waits twice as long.
       const double doublings = std::min(kept_.strikes - 2, 20.0);
-      Span wait{};
+      Duration wait{};
       if (kept_.strikes > 1.5)
-        wait = std::min(Span(static_cast<std::int64_t>(static_cast<double>(policy_.first_wait.count()) *
-                                                       std::exp2(doublings) * (1 + jitter_))),
+        wait = std::min(Duration(static_cast<std::int64_t>(static_cast<double>(policy_.first_wait.count()) *
+                                                           std::exp2(doublings) * (1 + jitter_))),
                         policy_.longest_wait);
       rest_until_ = now_ + wait;
       act(Act::What::note, lead_, kept_.in_force, "starts again in " + std::to_string(wait / 1ms) + " ms");
       save();
-      if (wait <= Span::zero()) on(WillEvent::rested);
+      if (wait <= Duration::zero()) on(WillEvent::rested);
       return;
     }
     case WillDo::give_up:
@@ -725,7 +725,7 @@
       return begin_when_free();
     case SwapDo::prove:
       at(lead_).version = kept_.in_force;
-      at(lead_).asked = at(lead_).ended = Span{};
+      at(lead_).asked = at(lead_).ended = Duration{};
       act(Act::What::label, lead_, kept_.in_force);
       swap_ = cell.begins;
       swap_since_ = now_;
@@ -742,7 +742,7 @@
       return;
     }
     case SwapDo::complete:
-      if (kept_.order && kept_.order->kind == Kind::use && kept_.order->trial > Span::zero()) {
+      if (kept_.order && kept_.order->kind == Kind::use && kept_.order->trial > Duration::zero()) {
         swap_ = Swap::trial;
         trial_until_ = now_ + kept_.order->trial;
         return finish(Outcome::on_trial, "");
--- a/src/keeper/minder.h
+++ b/src/keeper/minder.h
@@ -17,20 +17,20 @@
 namespace marbledyke::keeper {
 
 struct Policy {
-  Span start_limit{10'000'000};  // from a process's begin until it serves
-  Span read_limit{5'000'000};    // from SIGHUP until it says what it made of it
-  Span prove{3'000'000};         // sound for so long is proof
-  Span prove_limit{15'000'000};  // and it has to come within this
-  Span silent_after{3'000'000};  // windows come each second; without one for this it is hung
-  Span mute_after{10'000'000};   // takes multigets for so long and ends none
-  Span hung_limit{10'000'000};   // then it is ended by force
-  Span stop_limit{6'000'000};    // a planned stop takes 3.7 s at most
-  Span kill_limit{2'000'000};    // after SIGKILL; then it is said once more
-  Span first_wait{200'000};      // before the second start in a row; the first is at once
-  Span longest_wait{30'000'000};
-  double most_strikes = 8;        // then it gives up
-  Span strike_fades{60'000'000};  // a process that lives for this makes up for one end
-  Span late{1'000'000};           // a turn that comes so late: the keeper itself stood still
+  Duration start_limit{10'000'000};  // from a process's begin until it serves
+  Duration read_limit{5'000'000};    // from SIGHUP until it says what it made of it
+  Duration prove{3'000'000};         // sound for so long is proof
+  Duration prove_limit{15'000'000};  // and it has to come within this
+  Duration silent_after{3'000'000};  // windows come each second; without one for this it is hung
+  Duration mute_after{10'000'000};   // takes multigets for so long and ends none
+  Duration hung_limit{10'000'000};   // then it is ended by force
+  Duration stop_limit{6'000'000};    // a planned stop takes 3.7 s at most
+  Duration kill_limit{2'000'000};    // after SIGKILL; then it is said once more
+  Duration first_wait{200'000};      // before the second start in a row; the first is at once
+  Duration longest_wait{30'000'000};
+  double most_strikes = 8;            // then it gives up
+  Duration strike_fades{60'000'000};  // a process that lives for this makes up for one end
+  Duration late{1'000'000};           // a turn that comes so late: the keeper itself stood still
 };
 
 inline constexpr int kSlots = 2;
@@ -98,7 +98,7 @@
 class Minder {
  public:
   // `jitter`: a share from 0 to 1 that this keeper's waits are spread by.
-  Minder(const Policy& policy, Kept kept, Span now, Span wall, double jitter);
+  Minder(const Policy& policy, Kept kept, Duration now, Duration wall, double jitter);
 
   // What it finds at its own start: a gatherer that still runs, of that version.
   void adopted(int slot, const std::string& version, const VersionFacts& facts);
@@ -109,7 +109,7 @@
   // judge(), and what only this knows: the keeper goes down, or what runs is being brought in line still.
   Verdict considers(const Order& order, bool has_version) const;
   // An order that considers() took and that has been written down.
-  static Kept with(const Kept& kept, const Order& order, Span wall);
+  static Kept with(const Kept& kept, const Order& order, Duration wall);
   void take(const Order& order, Kept kept, const VersionFacts& target, const VersionFacts& former);
   // Copying, removing or trying a version has ended.
   void versions_done(const std::string& wrong, const std::string& notes = {});
@@ -125,7 +125,7 @@
   void read_said(int slot, bool taken, bool needs_start, const std::string& why);
   void health(bool good);
   void kept_written(bool written);
-  void tick(Span now, Span wall);
+  void tick(Duration now, Duration wall);
   void leave();  // the keeper itself goes down in order, and its gatherers with it
   bool left() const {
     return will_ == Will::leaving && lives_[0].life == Life::none && lives_[1].life == Life::none;
@@ -140,7 +140,7 @@
   const std::string& version(int slot) const { return lives_[static_cast<std::size_t>(slot)].version; }
   Swap swap() const { return swap_; }
   Will will() const { return will_; }
-  std::optional<Span> starts_again() const {
+  std::optional<Duration> starts_again() const {
     return will_ == Will::resting ? std::optional(rest_until_) : std::nullopt;
   }
   Health health_of(int slot) const;
@@ -152,11 +152,11 @@
     Life life = Life::none;
     std::string version;
     VersionFacts facts;
-    Span since{};  // in this state
-    Span begun{};
-    Span heard{}, healthy{};
-    Span asked{}, ended{};  // the newest window in which it took a multiget, and in which it ended one
-    Span mute_since{};      // it has ended none of what it took since then
+    Duration since{};  // in this state
+    Duration begun{};
+    Duration heard{}, healthy{};
+    Duration asked{}, ended{};  // the newest window in which it took a multiget, and in which it ended one
+    Duration mute_since{};      // it has ended none of what it took since then
     std::string configuration;
   };
   struct LifeCell;
@@ -181,18 +181,18 @@
 
   Policy policy_;
   Kept kept_;
-  Span now_{}, wall_{}, last_tick_{};
+  Duration now_{}, wall_{}, last_tick_{};
   double jitter_;
   std::array<One, kSlots> lives_;
   int lead_ = 0;    // the slot of the process that serves, or last did
   int rising_ = 0;  // the one that was begun last
   Swap swap_ = Swap::none;
   Will will_ = Will::off;
-  Span swap_since_{};
-  Span sound_since_{};
+  Duration swap_since_{};
+  Duration sound_since_{};
   bool sound_now_ = false;
-  Span rest_until_{};
-  Span trial_until_{};
+  Duration rest_until_{};
+  Duration trial_until_{};
   VersionFacts target_, former_;
   std::string swap_why_;
   std::optional<int> waits_to_begin_;  // the slot in which a start waits for the leaving process's end
--- a/src/keeper/orders.cpp
+++ b/src/keeper/orders.cpp
@@ -131,7 +131,7 @@
   return out;
 }
 
-Verdict judge(const Order& order, const Kept& kept, Span wall, bool has_version) {
+Verdict judge(const Order& order, const Kept& kept, Duration wall, bool has_version) {
   if (kept.order) {
     const Order& last = *kept.order;
     if (order.epoch < last.epoch) return Verdict::old_epoch;
--- a/src/keeper/orders.h
+++ b/src/keeper/orders.h
@@ -22,7 +22,7 @@
   std::string from;                        // take: the folder it is copied from
   std::optional<std::string> if_in_force;  // refused where another version is in force
   std::int64_t not_after_ms = 0;           // wall clock; 0: whenever it comes
-  Span trial{};  // use: taken back unless confirmed within this; zero: sound is enough
+  Duration trial{};  // use: taken back unless confirmed within this; zero: sound is enough
 
   bool operator==(const Order&) const = default;
 };
@@ -85,6 +85,6 @@
 const char* name_of(Verdict verdict);
 
 // Changes nothing. `wall` is now; `has_version`: the version named is there, whole.
-Verdict judge(const Order& order, const Kept& kept, Span wall, bool has_version);
+Verdict judge(const Order& order, const Kept& kept, Duration wall, bool has_version);
 
 }  // namespace marbledyke::keeper
--- a/src/keeper/program.cpp
+++ b/src/keeper/program.cpp
@@ -15,9 +15,9 @@
 namespace marbledyke::keeper {
 namespace {
 
-void duration(CLI::App& app, const char* name, Span& into, const char* what) {
+void duration(CLI::App& app, const char* name, Duration& into, const char* what) {
   app.add_option_function<double>(
-         name, [&into](const double& s) { into = Span(static_cast<std::int64_t>(s * 1e6)); },
+         name, [&into](const double& s) { into = Duration(static_cast<std::int64_t>(s * 1e6)); },
          std::string(what) + ", in seconds (" + std::to_string(static_cast<double>(into.count()) / 1e6) + ")")
       ->check(CLI::Range(0.01, 3600.0));
 }
--- a/src/keeper/settings_holder.cpp
+++ b/src/keeper/settings_holder.cpp
@@ -88,11 +88,11 @@
   return a == b;
 }
 
-Span limit_of(P phase, const HolderPolicy& policy) {
+Duration limit_of(P phase, const HolderPolicy& policy) {
   if (phase == P::waiting) return policy.wait_limit;
   if (phase == P::trying) return policy.read_limit;
   if (phase == P::probation) return policy.probation;
-  return Span::max();
+  return Duration::max();
 }
 
 }  // namespace
@@ -101,7 +101,7 @@
 
 // ---- what it is told ----
 
-void SettingsHolder::resume(std::optional<Revision> settings, std::optional<Revision> good, Span now) {
+void SettingsHolder::resume(std::optional<Revision> settings, std::optional<Revision> good, Duration now) {
   now_ = since_ = now;
   good_ = std::move(good);
   settings_ = good_;
@@ -135,8 +135,8 @@
   tick(now_, host_);
 }
 
-void SettingsHolder::tick(Span now, Host host) {
-  const Span gap = now - now_;
+void SettingsHolder::tick(Duration now, Host host) {
+  const Duration gap = now - now_;
   now_ = now;
   host_ = host;
   if (gap > policy_.late) {
@@ -164,7 +164,7 @@
     if (host == Host::ready) on(HolderEvent::ready);
     if (host == Host::absent) on(HolderEvent::absent);
   }
-  const Span begun = phase_ == HolderPhase::waiting ? offered_since_ : since_;
+  const Duration begun = phase_ == HolderPhase::waiting ? offered_since_ : since_;
   if (now_ - begun < limit_of(phase_, policy_)) return;
   const std::string held_up_by =
       write_wrong_.empty() ? "a swap of versions did not end in time" : write_wrong_;
--- a/src/keeper/settings_holder.h
+++ b/src/keeper/settings_holder.h
@@ -19,11 +19,11 @@
 namespace marbledyke::keeper {
 
 struct HolderPolicy {
-  Span read_limit{5'000'000};   // from SIGHUP until the gatherer says what it made of it
-  Span wait_limit{65'000'000};  // for the end of a swap of versions, which takes 60 s at most, both ways
-  Span probation{2'000'000};    // a gatherer that ends by itself so soon after is taken to have ended by it
-  Span late{1'000'000};         // a turn that comes so late: the keeper itself stood still
-  Span write_again{1'000'000};  // after a write that failed
+  Duration read_limit{5'000'000};   // from SIGHUP until the gatherer says what it made of it
+  Duration wait_limit{65'000'000};  // for the end of a swap of versions, which takes 60 s at most, both ways
+  Duration probation{2'000'000};  // a gatherer that ends by itself so soon after is taken to have ended by it
+  Duration late{1'000'000};       // a turn that comes so late: the keeper itself stood still
+  Duration write_again{1'000'000};  // after a write that failed
 };
 
 // What stands in the way of telling the gatherer: nothing, a swap or start under way, or that none runs.
@@ -64,10 +64,10 @@
   explicit SettingsHolder(const HolderPolicy& policy) : policy_(policy) {}
 
   // What it finds at the keeper's start; a record that is missing or damaged is none. Once, before all else.
-  void resume(std::optional<Revision> settings, std::optional<Revision> good, Span now);
+  void resume(std::optional<Revision> settings, std::optional<Revision> good, Duration now);
 
   void offered(const Revision& revision);  // by the receiver, which waits for applied or refused
-  void tick(Span now, Host host);
+  void tick(Duration now, Host host);
   // The gatherer that serves says which revision it runs; none: it knows nothing of revisions.
   void runs(std::optional<std::int64_t> index);
   // What it made of SIGHUP.
@@ -105,7 +105,7 @@
   HolderPhase resting_phase() const;
 
   HolderPolicy policy_;
-  Span now_{}, since_{};
+  Duration now_{}, since_{};
   Host host_ = Host::busy;
   HolderPhase phase_ = HolderPhase::idle;
   std::optional<Revision> settings_, good_;  // as they are to be on disk
@@ -119,8 +119,8 @@
   bool unsaved_ = false, good_unsaved_ = false;
   bool attempting_ = false;  // a new revision is being written
   bool looking_ = false;     // what is tried was kept before
-  Span offered_since_{}, running_since_{};
-  Span write_next_{};
+  Duration offered_since_{}, running_since_{};
+  Duration write_next_{};
   std::string write_wrong_;
   std::uint64_t impossible_ = 0;
   std::deque<HolderAct> acts_;
--- a/src/keeper/tryout.h
+++ b/src/keeper/tryout.h
@@ -29,7 +29,7 @@
     std::string notes;
   };
 
-  static constexpr Span kLimit{5'000'000};  // of one run
+  static constexpr Duration kLimit{5'000'000};  // of one run
 
   Tryout(net::Loop& loop, std::vector<Step> steps, std::function<void(const Result&)> told);
   ~Tryout() override;
--- a/src/lab/experiments.cpp
+++ b/src/lab/experiments.cpp
@@ -69,7 +69,7 @@
   return out;
 }
 
-Fault fault_of(FaultKind kind, Span from, Span until, double share, double strength) {
+Fault fault_of(FaultKind kind, Duration from, Duration until, double share, double strength) {
   Fault out;
   out.kind = kind;
   out.from = from;
@@ -203,14 +203,14 @@
         const double share = kind == "half" ? 0.5 : kind == "all" ? 1 : 0.7;
         Fault killed = fault_of(FaultKind::kill_gatherer, 6s, 7s, share, 1);
         killed.first = 0;
-        killed.step = Span(100'000 / count);
+        killed.step = Duration(100'000 / count);
         Fault off = fault_of(FaultKind::kill_keeper, 5s, 8s, share, 1);
         off.first = 0;
         if (kind == "swaps") {
           killed.kind = FaultKind::swap_gatherer;
           killed.share = 1;
           killed.until = 11s;
-          killed.step = Span(4'000'000 / count);
+          killed.step = Duration(4'000'000 / count);
         }
         if (kind != "nothing") cell.scenario.faults = {killed};
         if (kind == "most-keepers-late") cell.scenario.faults.push_back(off);
@@ -377,9 +377,9 @@
 
 // Seconds from the end of the last fault until nine of ten are good, over two seconds together; -1: never.
 double recovered(const Cell& cell, const emulator::Result& r) {
-  Span end{};
+  Duration end{};
   for (const Fault& fault : cell.scenario.faults) end = std::max(end, fault.until);
-  if (end == Span::zero()) return 0;
+  if (end == Duration::zero()) return 0;
   for (auto i = static_cast<std::size_t>(end / 1s); i + 1 < r.seconds.size(); ++i) {
     const double asked = static_cast<double>(r.seconds[i].asked + r.seconds[i + 1].asked);
     const double good = static_cast<double>(r.seconds[i].good + r.seconds[i + 1].good);
@@ -559,7 +559,7 @@
   }
   // Gatherers under keepers, one of two struck; a keeper's faults come with the end of its gatherer, since
   // without one nobody would see them.
-  const auto kept = [&](FaultKind kind, double strength, Span until = 8s) {
+  const auto kept = [&](FaultKind kind, double strength, Duration until = 8s) {
     const bool of_keeper =
         kind == FaultKind::kill_keeper || kind == FaultKind::pause_keeper || kind == FaultKind::keeper_clock;
     std::vector<Fault> faults{fault_of(kind, 4s, until, 0.5, strength)};
--- a/src/lab/keepers.cpp
+++ b/src/lab/keepers.cpp
@@ -65,7 +65,7 @@
     rig::run_for(loop, 800ms);
     const pid_t was = Site::leader(site.status(m));
     if (was <= 0) continue;
-    const Span from = loop.now();
+    const Duration from = loop.now();
     ::kill(was, SIGKILL);
     const bool back = rig::run_until(loop, 5s, [&] {
       const auto alive = site.gatherers(m);
@@ -97,11 +97,11 @@
   site.settled(m);
   const int seconds = options.swaps * 5 + 2;
   const rig::Used before = rig::used_by(m.keeper.pid());
-  const Span begun = loop.now();
+  const Duration begun = loop.now();
   standins::Load clients(loop, m.listen, load_of(options.rate, seconds));
   int done = 0;
   for (int i = 0; i < options.swaps && !stop; ++i) {
-    const Span next = loop.now() + 5s;
+    const Duration next = loop.now() + 5s;
     site.order(m, "use", i % 2 == 0 ? "v1" : "v0");
     const json now = site.settled(m, 5s);
     done += now.is_object() && now.value("outcome", "") == "done" ? 1 : 0;
--- a/src/lab/kept.cpp
+++ b/src/lab/kept.cpp
@@ -87,7 +87,7 @@
   keeper_.start(words, {{"MARBLEDYKE_BENT", folder_ + "/bends"}}, folder_ + "/log");
 }
 
-rig::Answer Kept::order(json what, Span limit) {
+rig::Answer Kept::order(json what, Duration limit) {
   what["epoch"] = 1;
   what["number"] = ++number_;
   return rig::call(loop_, control_, "POST", "/order", what.dump(), limit);
--- a/src/lab/kept.h
+++ b/src/lab/kept.h
@@ -43,7 +43,7 @@
  private:
   std::string recipe(const std::string& version, const nlohmann::json& configuration,
                      const std::string& mark);
-  rig::Answer order(nlohmann::json what, Span limit);
+  rig::Answer order(nlohmann::json what, Duration limit);
 
   net::Loop& loop_;
   std::string folder_, name_;
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -86,7 +86,7 @@
     const emulator::Result a = emulator::play(scenario, options);
     const lab::Staged staged = lab::stage(scenario, {seed, nullptr, nullptr}, stopped);
     const emulator::Result& b = staged.result;
-    const auto ms = [](Span span) { return static_cast<double>(span.count()) / 1000; };
+    const auto ms = [](Duration span) { return static_cast<double>(span.count()) / 1000; };
     std::uint64_t breaches_a = 0, breaches_b = 0;
     for (int rule = 1; rule <= 6; ++rule) {
       breaches_a += a.breach_counts[rule];
--- a/src/lab/scale/control_plane.cpp
+++ b/src/lab/scale/control_plane.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span kStartLimit = 10s;
+constexpr Duration kStartLimit = 10s;
 constexpr std::uint32_t kFirstAddress = 3000;  // numbers of standins::free_address
 
 }  // namespace
--- a/src/lab/scale/health_probe.cpp
+++ b/src/lab/scale/health_probe.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span kBetween = 1ms;  // short against the turns that are looked for
+constexpr Duration kBetween = 1ms;  // short against the turns that are looked for
 constexpr std::size_t kMostBytes = 64 * 1024;
 
 }  // namespace
@@ -29,7 +29,9 @@
   if (next_) loop_.cancel(*next_);
 }
 
-Span HealthProbe::longest() const { return asked_ ? std::max(longest_, loop_.now() - *asked_) : longest_; }
+Duration HealthProbe::longest() const {
+  return asked_ ? std::max(longest_, loop_.now() - *asked_) : longest_;
+}
 
 void HealthProbe::ask() {
   asked_ = loop_.now();
--- a/src/lab/scale/health_probe.h
+++ b/src/lab/scale/health_probe.h
@@ -20,9 +20,9 @@
   HealthProbe(const HealthProbe&) = delete;
   HealthProbe& operator=(const HealthProbe&) = delete;
 
-  void forget() { longest_ = Span::zero(); }  // the waits until now
+  void forget() { longest_ = Duration::zero(); }  // the waits until now
   // The longest wait since forget(), that of a call which is out included.
-  Span longest() const;
+  Duration longest() const;
   std::uint64_t answers() const { return answers_; }
   bool broken() const { return broken_; }
 
@@ -34,8 +34,8 @@
   std::unique_ptr<net::Stream> stream_;
   net::HttpReader reader_;
   std::optional<net::Loop::Timer> next_;
-  std::optional<Span> asked_;
-  Span longest_{};
+  std::optional<Duration> asked_;
+  Duration longest_{};
   std::uint64_t answers_ = 0;
   bool broken_ = false;
 };
--- a/src/lab/scale/hollow_list.cpp
+++ b/src/lab/scale/hollow_list.cpp
@@ -146,7 +146,7 @@
   if (!since || refusing_) return answer(caller, kWhole);
   if (*since < index_ || wait <= 0) return answer(caller, *since);
   caller.waits_since = since;
-  const Span until = loop_.now() + std::chrono::milliseconds(std::min(wait, kLongestWait));
+  const Duration until = loop_.now() + std::chrono::milliseconds(std::min(wait, kLongestWait));
   caller.limit = loop_.at(until, [this, &caller] {
     caller.limit.reset();
     answer(caller, *caller.waits_since);
--- a/src/lab/scale/hollow_list.h
+++ b/src/lab/scale/hollow_list.h
@@ -38,7 +38,7 @@
   // The newest index that a call has named: the caller has that list in force. Below 0: none yet.
   std::int64_t named() const { return named_; }
   // When it was named first, by the loop's clock.
-  Span named_at() const { return named_at_; }
+  Duration named_at() const { return named_at_; }
 
   struct Tally {
     std::uint64_t calls = 0, bytes_read = 0, bytes_written = 0, wholes = 0;
@@ -68,7 +68,7 @@
   std::uint32_t place_ = 0;
   std::vector<Entry> entries_;
   std::int64_t index_ = 1, named_ = -1;
-  Span named_at_{};
+  Duration named_at_{};
   bool refusing_ = false;
   Tally tally_;
   std::map<std::uint64_t, std::unique_ptr<Caller>> callers_;
--- a/src/lab/scale/hollow_receivers.cpp
+++ b/src/lab/scale/hollow_receivers.cpp
@@ -25,7 +25,7 @@
 using distribution::Revision;
 using nlohmann::json;
 
-constexpr Span kLeastSampling{100'000};
+constexpr Duration kLeastSampling{100'000};
 
 std::string read_file(const std::string& path) {
   std::ifstream in(path);
@@ -94,7 +94,7 @@
 
   void apply(std::size_t number, const Revision& revision) {
     keep(revision);
-    if (spec_.applies_after <= Span::zero()) return applied(number, revision.index);
+    if (spec_.applies_after <= Duration::zero()) return applied(number, revision.index);
     loop_.at(loop_.now() + spec_.applies_after,
              [this, number, index = revision.index] { applied(number, index); });
   }
@@ -107,7 +107,7 @@
 
   void plan_sample() {
     const std::int64_t every = spec_.sample_every.count();
-    const Span wait(every - machine_microseconds() % every);
+    const Duration wait(every - machine_microseconds() % every);
     loop_.at(loop_.now() + wait, [this] {
       sample();
       plan_sample();
@@ -155,8 +155,8 @@
   out.zone = config::text(from, "zone");
   out.preferred = static_cast<std::size_t>(config::integer(from, "preferred"));
   out.seed = static_cast<std::uint32_t>(config::integer(from, "seed"));
-  out.applies_after = Span(config::integer(from, "applies_after_us"));
-  out.sample_every = std::max(Span(config::integer(from, "sample_every_us")), kLeastSampling);
+  out.applies_after = Duration(config::integer(from, "applies_after_us"));
+  out.sample_every = std::max(Duration(config::integer(from, "sample_every_us")), kLeastSampling);
   for (const json& name : config::array(from, "names")) out.names.push_back(name.get<std::string>());
   for (const json& node : config::array(from, "nodes")) {
     const auto address = net::parse_address(node.get<std::string>());
--- a/src/lab/scale/hollow_receivers.h
+++ b/src/lab/scale/hollow_receivers.h
@@ -23,8 +23,8 @@
   std::size_t preferred = 0;        // how many these are
   std::vector<std::string> names;
   std::uint32_t seed = 0;
-  Span sample_every{};   // B lines, at multiples of it
-  Span applies_after{};  // a slow one takes so long to have a revision in force
+  Duration sample_every{};   // B lines, at multiples of it
+  Duration applies_after{};  // a slow one takes so long to have a revision in force
 };
 void write_spec(const std::string& path, const ReceiversSpec& spec);
 // Throws config::BadInput naming the field at fault, std::runtime_error where the file cannot be read.
--- a/src/lab/scale/installation.cpp
+++ b/src/lab/scale/installation.cpp
@@ -28,7 +28,7 @@
 constexpr int kFirstPort = 21'000, kPorts = 9'000;  // below the system's ephemeral ones
 constexpr int kServersPerProcess = 2000;            // so that 3,900 take two cores of the machine, not one
 constexpr int kGathererSockets = 12'000;  // descriptors that it may use; above the largest list with traffic
-constexpr Span kStartLimit = 30s;
+constexpr Duration kStartLimit = 30s;
 
 int first_word(const std::string& file) {
   std::ifstream in(file);
--- a/src/lab/scale/lists.cpp
+++ b/src/lab/scale/lists.cpp
@@ -15,14 +15,14 @@
 using namespace std::chrono_literals;
 
 const std::string kPart = "lists";
-constexpr Span kQuiet = 1s;  // after a list came, before memory is read
-constexpr Span kBetweenChanges = 5ms;
-constexpr Span kInForceLimit = 10s;  // of one change or one whole list
+constexpr Duration kQuiet = 1s;  // after a list came, before memory is read
+constexpr Duration kBetweenChanges = 5ms;
+constexpr Duration kInForceLimit = 10s;  // of one change or one whole list
 
-constexpr Span kCutOff = 100ms;
+constexpr Duration kCutOff = 100ms;
 constexpr std::size_t kRegionReturn = 2000;  // list changes of a cut between regions (issue 38)
 
-double milliseconds(Span span) { return static_cast<double>(span.count()) / 1000; }
+double milliseconds(Duration span) { return static_cast<double>(span.count()) / 1000; }
 
 // One gatherer under one list.
 class ListRun {
@@ -55,10 +55,10 @@
   double cpu() const { return cpu_seconds(gatherer_.pid()); }
 
   // Runs until the gatherer names the newest index; gives how long that took.
-  Span until_in_force() {
-    const Span told = run_.loop.now();
+  Duration until_in_force() {
+    const Duration told = run_.loop.now();
     run_.loop.read_clock();
-    const Span limit = told + kInForceLimit;
+    const Duration limit = told + kInForceLimit;
     while (list_.named() < list_.index()) {
       if (run_.loop.now() > limit) throw std::runtime_error("a list was not in force in time");
       run_.loop.at(limit, [] {});
@@ -67,7 +67,7 @@
     return list_.named_at() - told;
   }
 
-  double measure_idle(Span window) {
+  double measure_idle(Duration window) {
     const double before = cpu();
     rig::run_for(run_.loop, window);
     const double share = (cpu() - before) / (milliseconds(window) / 1000);
@@ -77,7 +77,7 @@
 
   void measure_changes(int changes, double idle_share) {
     const double before = cpu();
-    const Span begun = run_.loop.now();
+    const Duration begun = run_.loop.now();
     const HollowList::Tally first = list_.tally();
     double in_force = 0, longest = 0;
     for (int i = 0; i < changes && !run_.stop; ++i) {
--- a/src/lab/scale/load.cpp
+++ b/src/lab/scale/load.cpp
@@ -17,7 +17,7 @@
 const std::string kPart = "load";
 constexpr int kServiceMilliseconds = 10;
 
-double milliseconds(Span span) { return static_cast<double>(span.count()) / 1000; }
+double milliseconds(Duration span) { return static_cast<double>(span.count()) / 1000; }
 
 standins::LoadOptions load_options(int rate, int seconds, std::uint32_t seed) {
   standins::LoadOptions out;
@@ -48,11 +48,12 @@
   }
 
  private:
-  standins::Load::Tally play(int rate, int seconds, int number, Span* p50 = nullptr, Span* p99 = nullptr) {
+  standins::Load::Tally play(int rate, int seconds, int number, Duration* p50 = nullptr,
+                             Duration* p99 = nullptr) {
     const auto seed = run_.options.seed * 100'000 + static_cast<std::uint32_t>(rate * 100 + number);
     run_.loop.read_clock();
     standins::Load load(run_.loop, gatherer_.address(), load_options(rate, seconds, seed));
-    const Span limit = std::chrono::seconds(seconds) + 10s;
+    const Duration limit = std::chrono::seconds(seconds) + 10s;
     if (!rig::run_until(run_.loop, limit, [&] { return !load.running() || run_.stop; }))
       throw std::runtime_error("the load did not end");
     if (p50 != nullptr) *p50 = load.latencies().at(0.5);
@@ -62,8 +63,8 @@
 
   void measure_run(int rate, int seconds, int number) {
     const double before = cpu_seconds(gatherer_.pid());
-    const Span begun = run_.loop.now();
-    Span p50{}, p99{};
+    const Duration begun = run_.loop.now();
+    Duration p50{}, p99{};
     const standins::Load::Tally tally = play(rate, seconds, number, &p50, &p99);
     const double used = cpu_seconds(gatherer_.pid()) - before;
     const double wall = milliseconds(run_.loop.now() - begun) / 1000;
--- a/src/lab/scale/options.h
+++ b/src/lab/scale/options.h
@@ -28,7 +28,7 @@
   int runs = 1;     // each with a gatherer of its own
   int changes = 0;  // of a run
   int wholes = 0;   // whole lists of a run
-  Span idle{};      // window without any change
+  Duration idle{};  // window without any change
 };
 
 struct LoadPlan {
@@ -42,18 +42,18 @@
   std::vector<int> receivers;  // real ones among them
   int keepers = 1;             // real keepers with gatherers
   int listed = 1;              // servers that these gatherers list
-  Span sample_every{};         // of the receivers' traffic
-  Span quiet{};                // window without changes
+  Duration sample_every{};     // of the receivers' traffic
+  Duration quiet{};            // window without changes
   int ordinary_changes = 0;    // one each ordinary_gap; one more at the largest number of receivers
-  Span ordinary_gap{};
+  Duration ordinary_gap{};
   int spaced_changes = 0;  // one each spaced_gap, so that each is in force before the next
-  Span spaced_gap{};
+  Duration spaced_gap{};
   int hundredfold_changes = 0;  // one each hundredfold_gap
-  Span hundredfold_gap{};
+  Duration hundredfold_gap{};
   std::vector<int> document_bytes;  // sizes of settings, at the largest number of receivers
   int fault_changes = 0;            // one each fault_gap while something is broken
-  Span fault_gap{};
-  Span cut{}, longest_cut{};  // between regions; the longest at the largest number of receivers
+  Duration fault_gap{};
+  Duration cut{}, longest_cut{};  // between regions; the longest at the largest number of receivers
 };
 
 ListsPlan lists_plan(const Options& options);
--- a/src/lab/scale/racks.cpp
+++ b/src/lab/scale/racks.cpp
@@ -10,8 +10,8 @@
 
 std::size_t region_of_zone(std::size_t zone) { return zone < kZonesInFirstRegion ? 0 : 1; }
 
-Racks::Racks(const ControlPlane& plane, const std::string& folder, std::size_t receivers, Span sample_every,
-             std::uint32_t seed)
+Racks::Racks(const ControlPlane& plane, const std::string& folder, std::size_t receivers,
+             Duration sample_every, std::uint32_t seed)
     : folder_(folder), sample_every_(sample_every), seed_(seed) {
   constexpr std::size_t kAlone = 2;
   for (std::size_t zone = 0; zone < kZones; ++zone) {
@@ -47,7 +47,7 @@
       racks_[rack]->spec_path + ".said");
 }
 
-void Racks::slow_down(std::size_t rack, Span applies_after) {
+void Racks::slow_down(std::size_t rack, Duration applies_after) {
   end(rack);
   ReceiversSpec spec = read_spec(racks_[rack]->spec_path);
   spec.applies_after = applies_after;
--- a/src/lab/scale/racks.h
+++ b/src/lab/scale/racks.h
@@ -21,7 +21,7 @@
 class Racks {
  public:
   // The last two of zone 0 have a process each, so that they can be slow and paused.
-  Racks(const ControlPlane& plane, const std::string& folder, std::size_t receivers, Span sample_every,
+  Racks(const ControlPlane& plane, const std::string& folder, std::size_t receivers, Duration sample_every,
         std::uint32_t seed);
 
   struct Rack {
@@ -44,7 +44,7 @@
   bool ended(std::size_t rack) { return racks_[rack]->process.ended().has_value(); }
   // Ends it and starts it as one whose receivers take so long to have a revision in force; zero: as the
   // others.
-  void slow_down(std::size_t rack, Span applies_after);
+  void slow_down(std::size_t rack, Duration applies_after);
 
   void read_logs();
 
@@ -52,7 +52,7 @@
   void add(const ControlPlane& plane, std::size_t zone, std::size_t count);
 
   std::string folder_;
-  Span sample_every_;
+  Duration sample_every_;
   std::uint32_t seed_;
   std::size_t receivers_ = 0;
   std::vector<std::unique_ptr<Rack>> racks_;
--- a/src/lab/scale/real_keepers.cpp
+++ b/src/lab/scale/real_keepers.cpp
@@ -22,7 +22,7 @@
 using namespace std::chrono_literals;
 
 constexpr std::uint32_t kFirstAddress = 4000;  // numbers of standins::free_address
-constexpr Span kInForceLimit = 30s;
+constexpr Duration kInForceLimit = 30s;
 
 std::string good_file(const Kept& keeper) { return keeper.keeper_folder() + "/settings.good.json"; }
 
--- a/src/lab/scale/settings.cpp
+++ b/src/lab/scale/settings.cpp
@@ -12,16 +12,16 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span kOverASample = 500ms;  // a busy machine writes them late
+constexpr Duration kOverASample = 500ms;  // a busy machine writes them late
 
 constexpr double kMicroseconds = 1e6;  // of a second
 
-double seconds(Span span) { return static_cast<double>(span.count()) / kMicroseconds; }
+double seconds(Duration span) { return static_cast<double>(span.count()) / kMicroseconds; }
 
 // Runs the loop until that moment, counted from `begun` by the machine's clock.
-void run_until_due(net::Loop& loop, std::int64_t begun_us, Span after) {
-  const Span left = after - Span(machine_microseconds() - begun_us);
-  if (left > Span::zero()) rig::run_for(loop, left);
+void run_until_due(net::Loop& loop, std::int64_t begun_us, Duration after) {
+  const Duration left = after - Duration(machine_microseconds() - begun_us);
+  if (left > Duration::zero()) rig::run_for(loop, left);
 }
 
 class Changes {
--- a/src/lab/scale/settings_faults.cpp
+++ b/src/lab/scale/settings_faults.cpp
@@ -14,12 +14,12 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kLostNode = 1;  // a voter of region 0
-constexpr std::size_t kHungNode = 2;  // another one: receivers come back to the lost one later
-constexpr std::size_t kLostZone = 4;  // a fifth of the receivers, in region 1
-constexpr Span kSlowApply = 1500ms;   // of the slow receiver; a whole gatherer restart takes less
-constexpr int kBeforeFault = 1;       // changes before something breaks, and after it is whole again
-constexpr int kCutChanges = 4;        // during a cut between regions
+constexpr std::size_t kLostNode = 1;     // a voter of region 0
+constexpr std::size_t kHungNode = 2;     // another one: receivers come back to the lost one later
+constexpr std::size_t kLostZone = 4;     // a fifth of the receivers, in region 1
+constexpr Duration kSlowApply = 1500ms;  // of the slow receiver; a whole gatherer restart takes less
+constexpr int kBeforeFault = 1;          // changes before something breaks, and after it is whole again
+constexpr int kCutChanges = 4;           // during a cut between regions
 
 class Faults {
  public:
@@ -80,7 +80,7 @@
   // A majority of the nodes is in region 0, which goes on making changes.
   void cut_regions() {
     if (one_.run.stop) return;
-    const Span length = one_.largest ? one_.plan.longest_cut : one_.plan.cut;
+    const Duration length = one_.largest ? one_.plan.longest_cut : one_.plan.cut;
     one_.say("regions cut apart for " + std::to_string(length / 1s) + " s");
     const Reachable first_region = [this](std::size_t rack) {
       return region_of_zone(fleet_.racks().rack(rack).zone) == 0;
@@ -132,7 +132,7 @@
     const ChangeMaker::Made made = fleet_.change();
     fleet_.wait_everywhere(made.index);
     one_.add("slow_last", "s", 1, fleet_.in_force(made, only(racks.slow())).last);
-    racks.slow_down(racks.slow(), Span::zero());
+    racks.slow_down(racks.slow(), Duration::zero());
   }
 
   const SettingsRun& one_;
--- a/src/lab/scale/settings_fleet.cpp
+++ b/src/lab/scale/settings_fleet.cpp
@@ -13,8 +13,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span kInForceLimit = 30s;  // what takes longer is a fault of the mechanism, not a figure
-constexpr int kFirstTick = 5000;     // microseconds; the setting that changes
+constexpr Duration kInForceLimit = 30s;  // what takes longer is a fault of the mechanism, not a figure
+constexpr int kFirstTick = 5000;         // microseconds; the setting that changes
 
 // What all gatherers of the fleet run.
 std::string document(int number, std::size_t padding) {
@@ -28,7 +28,7 @@
 
 bool everywhere(std::size_t) { return true; }
 
-SettingsFleet::SettingsFleet(net::Loop& loop, const Sizes& sizes, Span sample_every, std::uint32_t seed)
+SettingsFleet::SettingsFleet(net::Loop& loop, const Sizes& sizes, Duration sample_every, std::uint32_t seed)
     : loop_(loop),
       plane_(loop, folder_.path(), seed),
       keepers_(loop, plane_, sizes.keepers, sizes.listed),
--- a/src/lab/scale/settings_fleet.h
+++ b/src/lab/scale/settings_fleet.h
@@ -30,7 +30,7 @@
     std::size_t hollow_receivers = 0;
     int keepers = 0, listed = 0;  // real keepers, and servers that their gatherers list
   };
-  SettingsFleet(net::Loop& loop, const Sizes& sizes, Span sample_every, std::uint32_t seed);
+  SettingsFleet(net::Loop& loop, const Sizes& sizes, Duration sample_every, std::uint32_t seed);
 
   // Another document than the one before, with so many bytes more than it needs; throws std::runtime_error
   // where it is not agreed.
--- a/src/lab/sockets.cpp
+++ b/src/lab/sockets.cpp
@@ -29,7 +29,7 @@
 
 constexpr int kShards = 8;
 constexpr int kRecords = 240;  // of the searchable sample
-constexpr Span kReadyWithin = 10s;
+constexpr Duration kReadyWithin = 10s;
 
 class Signals final : public net::Watcher {
  public:
@@ -169,7 +169,7 @@
   Gatherer child_;
   std::unique_ptr<net::Stream> health_;
   std::function<void(bool)> told_;
-  Span ready_by_{};
+  Duration ready_by_{};
 };
 
 void progress(net::Loop& loop, const Load& load) {
@@ -281,7 +281,7 @@
     options.shards = kShards;
     Load clients(loop, installation.gatherer(), options);
     progress(loop, clients);
-    const Span third = std::chrono::seconds(options.seconds) / 3;
+    const Duration third = std::chrono::seconds(options.seconds) / 3;
     loop.at(loop.now() + third, [&] {
       std::cout << "leaf-0 is killed" << std::endl;
       installation.kill_server(0);
--- a/src/lab/stage.cpp
+++ b/src/lab/stage.cpp
@@ -36,14 +36,14 @@
 using scenario::OpLoad;
 using scenario::Scenario;
 
-constexpr Span kReadyWithin = 10s;
-constexpr Span kBeat = 5ms;
-constexpr Span kFrontNotices = 1s, kCrashListed = 1s, kVanishedListed = 3s;  // as in the emulator
-constexpr Span kCrossing = 50ms;               // what may be under way, as the rules on sockets allow
-constexpr Span kAfter = 500ms;                 // for what is still out at the end
+constexpr Duration kReadyWithin = 10s;
+constexpr Duration kBeat = 5ms;
+constexpr Duration kFrontNotices = 1s, kCrashListed = 1s, kVanishedListed = 3s;  // as in the emulator
+constexpr Duration kCrossing = 50ms;           // what may be under way, as the rules on sockets allow
+constexpr Duration kAfter = 500ms;             // for what is still out at the end
 constexpr std::size_t kMostConnections = 500;  // to one gatherer; more than that wait
 
-Span span_of(double s) { return Span(static_cast<std::int64_t>(std::llround(s * 1e6))); }
+Duration span_of(double s) { return Duration(static_cast<std::int64_t>(std::llround(s * 1e6))); }
 
 std::int64_t unix_ms() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -126,7 +126,7 @@
     std::uint64_t uid = 0;
     std::vector<int> shards;
     int op = 0;
-    Span until{};
+    Duration until{};
     int life = 0;        // of the gatherer that it was written to
     bool stood = false;  // was written to one that stands still, or is being started
   };
@@ -152,7 +152,7 @@
     std::vector<std::unique_ptr<rig::Relay>> paths;  // to each server; none where no fault is of them
     std::map<std::string, Listed> listed;
     bool alive = true;
-    Span died{};
+    Duration died{};
     double spent = 0, spent_kernel = 0;  // by former lives
     std::vector<std::uint64_t> idle;
     std::deque<Asking> waiting;
@@ -165,8 +165,8 @@
     std::map<int, int> place;
   };
 
-  Span now() const { return loop_.now() - begun_; }
-  void later(Span when, std::function<void()> what) { loop_.at(begun_ + when, std::move(what)); }
+  Duration now() const { return loop_.now() - begun_; }
+  void later(Duration when, std::function<void()> what) { loop_.at(begun_ + when, std::move(what)); }
   bool counts() const { return clients_.counts(now()); }
 
   void note(Event event) {
@@ -319,7 +319,7 @@
                                                     : Standing::gone;
       const auto& started = machines_[static_cast<std::size_t>(event.server)]->started();
       event.cold = started && entry.since_ms > 0 && since_[event.server] == entry.since_ms;
-      if (begun_ > Span::zero()) note(event);
+      if (begun_ > Duration::zero()) note(event);
     };
     front->list_at = front->discovery_at;
     if (any_fault({FaultKind::list_cut}))
@@ -345,7 +345,7 @@
   }
 
   void wait_until_ready(const std::atomic<bool>& stop) {
-    const Span by = loop_.now() + kReadyWithin;
+    const Duration by = loop_.now() + kReadyWithin;
     for (const auto& front : fronts_) {
       for (bool ready = false; !ready && !stop;) {
         if (loop_.now() > by || (!front->kept && front->process.ended()))
@@ -366,12 +366,12 @@
                                 },
                                 nullptr, [&](bool) { said = true; }});
         }
-        for (const Span until = loop_.now() + 200ms; !said && loop_.now() < until;) {
+        for (const Duration until = loop_.now() + 200ms; !said && loop_.now() < until;) {
           loop_.at(loop_.now() + 10ms, [] {});
           loop_.gather();
         }
         if (!ready) {
-          for (const Span until = loop_.now() + 20ms; loop_.now() < until;) {
+          for (const Duration until = loop_.now() + 20ms; loop_.now() < until;) {
             loop_.at(until, [] {});
             loop_.gather();
           }
@@ -381,9 +381,9 @@
   }
 
   // How late this process is itself: what it would hold against the gatherers otherwise.
-  void beat(Span due) {
+  void beat(Duration due) {
     late_ = std::max(late_, seconds(loop_.now() - due));
-    const Span next = loop_.now() + kBeat;
+    const Duration next = loop_.now() + kBeat;
     loop_.at(next, [this, next] { beat(next); });
   }
 
@@ -424,7 +424,7 @@
     }
     const std::vector<int> of = scenario::targets(s_, fault, trouble_);
     for (std::size_t k = 0; k < of.size(); ++k) {
-      const Span step = fault.step * static_cast<std::int64_t>(k);
+      const Duration step = fault.step * static_cast<std::int64_t>(k);
       later(fault.from + step, [this, fault, at = of[k]] { strike(fault, at, true); });
       later(fault.until + step, [this, fault, at = of[k]] { strike(fault, at, false); });
     }
@@ -754,7 +754,7 @@
     line.stream->flush();
     // What it still refers to is forgotten some time after its end.
     loop_.at(begun_ + asking.until + 5s, [this, uid = asking.uid] { works_.erase(uid); });
-    Span ends = asking.until + kCrossing;
+    Duration ends = asking.until + kCrossing;
     if (const auto share = clients_.leaves()) ends = now() + span_of(seconds(asking.until - now()) * *share);
     loop_.at(begun_ + ends, [this, number = line.number, uid = asking.uid] { time_is_up(number, uid); });
   }
@@ -815,7 +815,7 @@
     if (asking.life == fronts_[static_cast<std::size_t>(front)]->life) note(event);
     if (clients_.at(asking.client).serial != asking.serial) return;
     if (!served) {
-      Span wait{};
+      Duration wait{};
       if (const std::string* advice = message.header("retry-after"))
         wait = span_of(std::atof(advice->c_str()));
       return not_served(asking.client, wait, refused);
@@ -869,7 +869,7 @@
     loop_.at(loop_.now(), [this, number = line.front, next] { put(number, next); });
   }
 
-  void not_served(std::uint32_t i, Span come_back, bool pushed_back) {
+  void not_served(std::uint32_t i, Duration come_back, bool pushed_back) {
     if (const auto wait = clients_.not_served(i, come_back, pushed_back, now()))
       loop_.at(loop_.now() + *wait, [this, i] { try_once(i); });
   }
@@ -900,7 +900,7 @@
   emulator::Clients clients_;
   checker::Checker checker_;
   net::Loop loop_;
-  Span begun_{};
+  Duration begun_{};
   std::vector<std::unique_ptr<Machine>> machines_;
   std::vector<std::unique_ptr<Front>> fronts_;
   std::map<int, std::int64_t> since_;
@@ -913,7 +913,7 @@
   std::map<std::uint64_t, std::unique_ptr<Line>> lines_;
   std::vector<std::unique_ptr<Line>> graves_;
   std::uint64_t next_line_ = 1, uids_ = 0;
-  Span due_{};
+  Duration due_{};
   double late_ = 0;
   std::string trouble_text_;
 };
--- a/src/list/news.cpp
+++ b/src/list/news.cpp
@@ -36,7 +36,7 @@
   }
 }
 
-Entry entry(const json& from, const config::ServiceSettings& settings, Span unix_start, int& odd) {
+Entry entry(const json& from, const config::ServiceSettings& settings, Duration unix_start, int& odd) {
   Entry out;
   out.row.server = config::text(from, "name");
   if (out.row.server.empty()) throw BadInput("name: empty");
@@ -73,7 +73,7 @@
 
 }  // namespace
 
-News read_news(const json& from, const config::ServiceSettings& settings, Span unix_start) {
+News read_news(const json& from, const config::ServiceSettings& settings, Duration unix_start) {
   News out;
   out.index = config::integer(from, "index");
   const json& whole = config::required(from, "snapshot");
--- a/src/list/news.h
+++ b/src/list/news.h
@@ -31,6 +31,6 @@
 // unix_start is the Unix time at which the gatherer's own clock stood at zero. Throws config::BadInput where
 // the whole makes no sense. A single entry that cannot be read is left out and counted; its server keeps its
 // last state, also in a whole list.
-News read_news(const config::json& from, const config::ServiceSettings& settings, Span unix_start);
+News read_news(const config::json& from, const config::ServiceSettings& settings, Duration unix_start);
 
 }  // namespace marbledyke::list
--- a/src/list/staleness.h
+++ b/src/list/staleness.h
@@ -13,21 +13,21 @@
 
 using namespace std::chrono_literals;
 
-inline constexpr Span kCountsAsTold = 6s;
-inline constexpr Span kAfterWait = 2s;
-inline constexpr Span kMargin = 250ms;  // a turn that takes long, and the way
+inline constexpr Duration kCountsAsTold = 6s;
+inline constexpr Duration kAfterWait = 2s;
+inline constexpr Duration kMargin = 250ms;  // a turn that takes long, and the way
 // Discovery gives a call up itself when it has waited for 2 s; such a refusal is still heard.
-inline constexpr Span kAnswerWithin = 2500ms;
+inline constexpr Duration kAnswerWithin = 2500ms;
 // An answer to a wait that is late by this is missed: a second call is made beside it, and what is answered
 // first counts. Giving the first one up for it would make all that it may have missed count as told at that
 // moment.
-inline constexpr Span kOverdue = 250ms;
+inline constexpr Duration kOverdue = 250ms;
 // Where the list is pushed, what the agent has counts at once, and nobody but its own gatherer calls it.
-inline constexpr Span kAgentBackoff = 100ms;
+inline constexpr Duration kAgentBackoff = 100ms;
 
 // The longest backoff after a call that took so long to fail.
-inline constexpr Span most_backoff(Span call) {
-  return std::max(kCountsAsTold - kMargin - kAnswerWithin - std::min(call, kAnswerWithin), Span::zero());
+inline constexpr Duration most_backoff(Duration call) {
+  return std::max(kCountsAsTold - kMargin - kAnswerWithin - std::min(call, kAnswerWithin), Duration::zero());
 }
 static_assert(kAnswerWithin + most_backoff(kAnswerWithin) + kAnswerWithin + kMargin == kCountsAsTold);
 
--- a/src/list/watch.cpp
+++ b/src/list/watch.cpp
@@ -8,12 +8,12 @@
 namespace marbledyke::list {
 namespace {
 
-constexpr Span kLongestWait = 60s;  // the protocol's
+constexpr Duration kLongestWait = 60s;  // the protocol's
 constexpr std::size_t kMostList = 8 * 1024 * 1024;
 
 }  // namespace
 
-Watch::Watch(net::Loop& loop, const config::GathererConfig& gatherer_config, Span unix_start, Told told)
+Watch::Watch(net::Loop& loop, const config::GathererConfig& gatherer_config, Duration unix_start, Told told)
     : loop_(loop),
       settings_(gatherer_config.settings),
       address_(gatherer_config.discovery),
@@ -28,7 +28,7 @@
   watching_ = watching;
   whole_ = !watching;
   // The first call of a watch does not wait, so that whoever asked soon knows where things stand.
-  call(lines_[0], Span::zero());
+  call(lines_[0], Duration::zero());
 }
 
 // The calls that are out are given up with the old place: they may never be answered, or with what is old
@@ -41,14 +41,14 @@
   ask(true);
 }
 
-void Watch::call(Line& line, Span wait) {
+void Watch::call(Line& line, Duration wait) {
   line.calling = true;
   line.began = loop_.now();
   line.wait = wait;
-  const Span patience = wait > Span::zero() ? wait + kOverdue : kAnswerWithin;
+  const Duration patience = wait > Duration::zero() ? wait + kOverdue : kAnswerWithin;
   line.patience = loop_.at(loop_.now() + patience, [this, &line] {
     line.patience.reset();
-    line.wait > Span::zero() ? overdue(line) : failed(line, "no answer in time");
+    line.wait > Duration::zero() ? overdue(line) : failed(line, "no answer in time");
   });
   line.reader.restart();
   if (line.stream && !line.stream->closed()) return write(line);
@@ -81,7 +81,7 @@
     hang_up(line);
     if (!beside(line).calling) failed(line, "no answer in time");
   });
-  call(beside(line), Span::zero());
+  call(beside(line), Duration::zero());
 }
 
 void Watch::read(Line& line) {
@@ -135,7 +135,7 @@
 }
 
 void Watch::failed(Line& line, const char* why) {
-  const Span took = line.wait > Span::zero() ? Span::zero() : loop_.now() - line.began;
+  const Duration took = line.wait > Duration::zero() ? Duration::zero() : loop_.now() - line.began;
   for (Line& one : lines_) hang_up(one);
   watching_ = false;
   log::event(log::Level::info, "discovery.failed",
--- a/src/list/watch.h
+++ b/src/list/watch.h
@@ -21,10 +21,10 @@
   struct Told {
     std::function<void(News)> news;
     // A call failed, and with it the watch; asked for again within that.
-    std::function<void(Span most_backoff)> refused;
+    std::function<void(Duration most_backoff)> refused;
   };
 
-  Watch(net::Loop& loop, const config::GathererConfig& gatherer_config, Span unix_start, Told told);
+  Watch(net::Loop& loop, const config::GathererConfig& gatherer_config, Duration unix_start, Told told);
 
   void held(std::int64_t index) { index_ = index; }  // the version of the list that is held
   void ask(bool watching);  // the changes since, and then each as it comes; or the whole list once
@@ -37,12 +37,12 @@
     std::unique_ptr<net::Stream> stream, last;  // the last one may still be telling of its end
     net::HttpReader reader;
     std::optional<net::Loop::Timer> patience;
-    Span began{}, wait{};
+    Duration began{}, wait{};
     bool calling = false;
   };
 
   Line& beside(const Line& line) { return &line == &lines_[0] ? lines_[1] : lines_[0]; }
-  void call(Line& line, Span wait);
+  void call(Line& line, Duration wait);
   void write(Line& line);
   void read(Line& line);
   void overdue(Line& line);
@@ -57,7 +57,7 @@
   const config::ServiceSettings& settings_;
   net::Address address_;
   std::string host_;
-  Span unix_start_;
+  Duration unix_start_;
   Told told_;
   std::array<Line, 2> lines_;
   net::Spare spare_{2};  // clients may take all others while discovery is away
--- a/src/model/clock.h
+++ b/src/model/clock.h
@@ -11,21 +11,21 @@
 class TimeSource {
  public:
   virtual ~TimeSource() = default;
-  virtual Span steady() const = 0;  // since some fixed moment; never goes back
-  virtual Span wall() const = 0;    // since 1970, UTC; may step
+  virtual Duration steady() const = 0;  // since some fixed moment; never goes back
+  virtual Duration wall() const = 0;    // since 1970, UTC; may step
   // How long to wait by the machine's clock for that much to pass by this one.
-  virtual Span machine_time(Span own) const = 0;
+  virtual Duration machine_time(Duration own) const = 0;
 };
 
 class MachineTime final : public TimeSource {
  public:
-  Span steady() const override {
-    return std::chrono::duration_cast<Span>(std::chrono::steady_clock::now().time_since_epoch());
+  Duration steady() const override {
+    return std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch());
   }
-  Span wall() const override {
-    return std::chrono::duration_cast<Span>(std::chrono::system_clock::now().time_since_epoch());
+  Duration wall() const override {
+    return std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
   }
-  Span machine_time(Span own) const override { return own; }
+  Duration machine_time(Duration own) const override { return own; }
 };
 
 inline const TimeSource& machine_clock() {
--- a/src/model/hand.h
+++ b/src/model/hand.h
@@ -24,9 +24,9 @@
 struct OpType {
   std::string name;
   Repeat repeat = Repeat::retriable;
-  Span latency_budget{};
-  Span route_timeout{};
-  Span dedupe_window{};
+  Duration latency_budget{};
+  Duration route_timeout{};
+  Duration dedupe_window{};
   double importance = 1;
   double late_share = 0;
   double floor = 1;    // least share of parts for any answer
@@ -40,12 +40,12 @@
 struct Customer {
   double allowance = 0;  // multigets a second for this gatherer; 0: no limit
   double tokens = 0;
-  Span filled{};
+  Duration filled{};
 };
 
 struct SendRecord {
   int replica = -1;
-  Span at{};
+  Duration at{};
   double charge = 0;  // cost counted as in flight
   double base = 0;    // what it would take at pace 1
   double expect = 0;  // what it was expected to take
@@ -84,8 +84,8 @@
   double number = 0;
   int op_type = 0;
   int cells = 1, width = 1;  // the layout of the shards when it was taken
-  Span taken{};
-  Span last_moment{};  // when the final answer is due at the latest
+  Duration taken{};
+  Duration last_moment{};  // when the final answer is due at the latest
   double importance = 1;
   double expected = 0;  // how long it was expected to take when it was admitted
   int first_part = -1;
@@ -96,7 +96,7 @@
   double weight_in = 0;    // of the present step
   double weight_lost = 0;  // of its parts that can neither return nor be sent again
   bool first_step_whole = true;
-  std::optional<Span> looked_at;
+  std::optional<Duration> looked_at;
   bool admitted = false;
   bool closed = false;
 };
@@ -105,18 +105,18 @@
 struct Belief {
   double good = 0;
   double bad = 0;
-  Span at{};
+  Duration at{};
   double drawn = 1;
-  std::optional<Span> drawn_at;
+  std::optional<Duration> drawn_at;
 };
 
 // The work (us) that a gatherer may still send to one cold replica; it grows by the gatherer's share.
 struct SavedShare {
   double work = 0;
-  Span at{};                  // when it was last added to
-  std::optional<Span> start;  // the replica's start that it is for
+  Duration at{};                  // when it was last added to
+  std::optional<Duration> start;  // the replica's start that it is for
 
-  double grown(Span now, double share, Span window, double most) {
+  double grown(Duration now, double share, Duration window, double most) {
     work = std::min(work + share * (micros(now - at) / micros(window)), most);
     at = now;
     return work;
@@ -131,13 +131,13 @@
   Standing standing = Standing::gone;
   bool named = false;  // in the list being read
   bool kept = true;    // it is up, or something still refers to it
-  std::optional<Span> started;
-  double out = 0;             // own cost in flight
-  double recent = 0;          // own cost recently sent
-  double foreign = 0;         // others' work there
-  Span news_at{-1h};          // when that was last told
-  std::optional<Span> asked;  // a probe is out since
-  Span decayed_at{};
+  std::optional<Duration> started;
+  double out = 0;                 // own cost in flight
+  double recent = 0;              // own cost recently sent
+  double foreign = 0;             // others' work there
+  Duration news_at{-1h};          // when that was last told
+  std::optional<Duration> asked;  // a probe is out since
+  Duration decayed_at{};
   Belief belief;                // from all its answers
   std::vector<Belief> by_type;  // from those to one op type each
   double pace = 1;
@@ -145,7 +145,7 @@
   // in this turn
   double assigned = 0;
   int call_parts = 0;
-  std::array<std::pair<Span, double>, 64> cold_sends{};
+  std::array<std::pair<Duration, double>, 64> cold_sends{};
   std::size_t cold_next = 0;
   SavedShare saved;  // while cold, where a window's share is under one send
 };
@@ -153,10 +153,10 @@
 // Parts that lately came in for a cell, faded.
 struct CellFlow {
   double parts = 0;
-  Span at{};
+  Duration at{};
 
-  double recent(Span now, Span memory) const { return parts * fade(now - at, memory); }
-  void add(Span now, Span memory) { *this = {recent(now, memory) + 1, now}; }
+  double recent(Duration now, Duration memory) const { return parts * fade(now - at, memory); }
+  void add(Duration now, Duration memory) { *this = {recent(now, memory) + 1, now}; }
 };
 
 // A replica that a part may be sent to.
--- a/src/model/measure.h
+++ b/src/model/measure.h
@@ -9,10 +9,10 @@
 
 namespace marbledyke {
 
-inline double seconds(Span s) { return static_cast<double>(s.count()) * 1e-6; }
-inline double micros(Span s) { return static_cast<double>(s.count()); }
-inline Span span(double us) { return Span(static_cast<std::int64_t>(us)); }
-inline double fade(Span age, Span memory) { return std::exp(-micros(age) / micros(memory)); }
+inline double seconds(Duration s) { return static_cast<double>(s.count()) * 1e-6; }
+inline double micros(Duration s) { return static_cast<double>(s.count()); }
+inline Duration span(double us) { return Duration(static_cast<std::int64_t>(us)); }
+inline double fade(Duration age, Duration memory) { return std::exp(-micros(age) / micros(memory)); }
 
 inline std::uint64_t mix(std::uint64_t x) {
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
--- a/src/model/plain.h
+++ b/src/model/plain.h
@@ -14,7 +14,7 @@
 namespace marbledyke {
 
 // Time since the instance started; what happened before that is negative.
-using Span = std::chrono::microseconds;
+using Duration = std::chrono::microseconds;
 
 // The operators' terms of service: names, with dots between levels and list places as numbers, to values.
 using Term = std::variant<bool, double, std::string>;
@@ -38,7 +38,7 @@
   int cell = 0;
   Standing standing = Standing::up;
   double size = 1;
-  std::optional<Span> started;  // absent: long ago
+  std::optional<Duration> started;  // absent: long ago
 };
 
 struct MultigetAsk {
@@ -47,7 +47,7 @@
   int op_type = 0;
   int customer = 0;
   int parts = 0;
-  Span client_leaves{};
+  Duration client_leaves{};
   bool repeated = false;  // the client says that it has tried before
 };
 
@@ -57,7 +57,7 @@
   int shard = 0;
   double weight = 0;
   std::uint64_t key = 0;
-  Span hint{};  // zero: none was given
+  Duration hint{};  // zero: none was given
 };
 
 // A load report: the values that the terms name, in that order.
@@ -69,8 +69,8 @@
 struct Send {
   Rid part;
   std::string_view server;
-  Span not_past{};
-  Span begun_by = Span::max();  // else it is not begun any more
+  Duration not_past{};
+  Duration begun_by = Duration::max();  // else it is not begun any more
 };
 
 struct Withdrawal {
@@ -84,7 +84,7 @@
   Rid multiget;
   Ending ending = Ending::fail;
   bool whole = false;
-  Span come_back{};  // zero: no advice
+  Duration come_back{};  // zero: no advice
 };
 
 }  // namespace marbledyke
--- a/src/model/terms.h
+++ b/src/model/terms.h
@@ -32,8 +32,8 @@
     if (value > 1) refuse(name, "is a share above 1");
     return value;
   }
-  Span time(std::string_view name, Span otherwise) const {
-    return Span(static_cast<std::int64_t>(at_least(name, static_cast<double>(otherwise.count()), 0)));
+  Duration time(std::string_view name, Duration otherwise) const {
+    return Duration(static_cast<std::int64_t>(at_least(name, static_cast<double>(otherwise.count()), 0)));
   }
   bool flag(std::string_view name, bool otherwise) const {
     const auto at = terms_.find(name);
--- a/src/model/window_count.h
+++ b/src/model/window_count.h
@@ -14,8 +14,8 @@
  public:
   // A window of another length starts with so many events, all as if just now. What a longer one would still
   // hold is not known, so it starts full for one length of itself unless nothing was counted.
-  void set(Span window, Span now, double kept) {
-    const Span slice = std::max(window / kSlices, Span(1));
+  void set(Duration window, Duration now, double kept) {
+    const Duration slice = std::max(window / kSlices, Duration(1));
     if (slice == slice_) return;
     if (slice > slice_ && kept > 0) kept = kUnknown;
     slice_ = slice;
@@ -24,7 +24,7 @@
     counts_[static_cast<std::size_t>((now / slice_) % kPlaces)] = kept;
   }
 
-  void add(Span now) {
+  void add(Duration now) {
     const std::int64_t present = now / slice_;
     const auto place = static_cast<std::size_t>(present % kPlaces);
     if (stamps_[place] != present) {
@@ -35,17 +35,17 @@
   }
 
   // Never less than what the window holds: the slice at its far edge counts whole.
-  double at_most(Span now) const { return sum(now, kSlices); }
+  double at_most(Duration now) const { return sum(now, kSlices); }
 
   // Never more than what the window holds: the slice at its far edge is left out.
-  double at_least(Span now) const { return sum(now, kSlices - 1); }
+  double at_least(Duration now) const { return sum(now, kSlices - 1); }
 
  private:
   static constexpr std::int64_t kSlices = 50;
   static constexpr double kUnknown = 1e9;
   static constexpr std::int64_t kPlaces = kSlices + 1;
 
-  double sum(Span now, std::int64_t oldest) const {
+  double sum(Duration now, std::int64_t oldest) const {
     const std::int64_t present = now / slice_;
     double total = 0;
     for (std::size_t i = 0; i < counts_.size(); ++i) {
@@ -54,7 +54,7 @@
     return total;
   }
 
-  Span slice_{1};
+  Duration slice_{1};
   std::array<double, kPlaces> counts_{};
   std::array<std::int64_t, kPlaces> stamps_{};
 };
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -241,11 +241,11 @@
 }  // namespace
 
 std::string answer_text(int status, std::string_view type, std::string_view body, bool stays,
-                        Span come_back) {
+                        Duration come_back) {
   std::string out = "HTTP/1.1 " + std::to_string(status) + ' ' + reason(status) + "\r\n";
   out.append("Content-Type: ").append(type).append("\r\n");
   out += "Content-Length: " + std::to_string(body.size()) + "\r\n";
-  if (come_back > Span::zero()) {
+  if (come_back > Duration::zero()) {
     char seconds[32];
     std::snprintf(seconds, sizeof seconds, "%.3f", static_cast<double>(come_back.count()) * 1e-6);
     out += std::string("Retry-After: ") + seconds + "\r\n";
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -63,6 +63,7 @@
 };
 
 // A whole answer; come_back of zero gives no advice.
-std::string answer_text(int status, std::string_view type, std::string_view body, bool stays, Span come_back);
+std::string answer_text(int status, std::string_view type, std::string_view body, bool stays,
+                        Duration come_back);
 
 }  // namespace marbledyke::net
--- a/src/net/json_server.cpp
+++ b/src/net/json_server.cpp
@@ -7,11 +7,11 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span kWhole = 2s;     // a request is here within this from its first byte
-constexpr Span kIdle = 30s;     // a connection without one
-constexpr Span kParting = 1s;   // after its last answer, for who does not close
-constexpr Span kWrite = 10s;    // an answer is taken within this
-constexpr Span kSweep = 200ms;  // how often these are looked at
+constexpr Duration kWhole = 2s;     // a request is here within this from its first byte
+constexpr Duration kIdle = 30s;     // a connection without one
+constexpr Duration kParting = 1s;   // after its last answer, for who does not close
+constexpr Duration kWrite = 10s;    // an answer is taken within this
+constexpr Duration kSweep = 200ms;  // how often these are looked at
 constexpr std::size_t kMostAnswer = 16 * 1024 * 1024;
 
 }  // namespace
@@ -26,7 +26,7 @@
   std::unique_ptr<Stream> stream;
   HttpReader reader;
   Phase phase = Phase::reading;
-  Span since{};  // the request's first byte, the beginning of the phase, or the end of the last request
+  Duration since{};  // the request's first byte, the beginning of the phase, or the end of the last request
   bool stays = true;
 };
 
@@ -124,7 +124,8 @@
   connection.phase = Connection::Phase::answering;
   connection.stays = stays;
   connection.since = loop_.now();
-  const std::string text = answer_text(reply.status, "application/json", reply.body + "\n", stays, Span{});
+  const std::string text =
+      answer_text(reply.status, "application/json", reply.body + "\n", stays, Duration{});
   if (!connection.stream->out().put(text)) return drop(connection);
   connection.stream->flush();
 }
@@ -132,7 +133,7 @@
 // Ends what has lasted beyond its bound.
 void JsonServer::check(Connection& connection) {
   using Phase = Connection::Phase;
-  const Span lasted = loop_.now() - connection.since;
+  const Duration lasted = loop_.now() - connection.since;
   if (connection.phase == Phase::parting) {
     if (lasted > kParting) drop(connection);
   } else if (connection.phase == Phase::answering) {
--- a/src/net/json_server.h
+++ b/src/net/json_server.h
@@ -30,9 +30,9 @@
  public:
   using Caller = std::uint64_t;  // a connection; no two of one server have the same number
   struct Bounds {
-    std::size_t callers = 64;      // connections; more wait in the backlog
-    std::size_t body = 64 * 1024;  // bytes of a request's body
-    Span deferred{10'000'000};     // an owner who has not answered after this: 503
+    std::size_t callers = 64;       // connections; more wait in the backlog
+    std::size_t body = 64 * 1024;   // bytes of a request's body
+    Duration deferred{10'000'000};  // an owner who has not answered after this: 503
   };
   struct Told {
     // Answered with answer(), within this call or later. The caller asks nothing else before that.
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -15,7 +15,7 @@
   if (!epoll_) throw std::system_error(errno, std::generic_category(), "epoll_create1");
 }
 
-void Loop::tell_long_turns(Span limit, std::function<void(const Turn&)> told) {
+void Loop::tell_long_turns(Duration limit, std::function<void(const Turn&)> told) {
   long_turn_ = limit;
   long_turn_told_ = std::move(told);
 }
@@ -25,9 +25,9 @@
   const std::chrono::duration<double> processor(static_cast<double>(used - std::exchange(used_, used)) /
                                                 CLOCKS_PER_SEC);
   if (!turn_began_) return;
-  const Span took = now_ - *turn_began_;
+  const Duration took = now_ - *turn_began_;
   longest_turn_ = std::max(longest_turn_, took);
-  if (took > long_turn_) long_turn_told_({took, std::chrono::duration_cast<Span>(processor)});
+  if (took > long_turn_) long_turn_told_({took, std::chrono::duration_cast<Duration>(processor)});
 }
 
 void Loop::read_clock() { now_ = clock_.steady() - start_; }
@@ -58,7 +58,7 @@
   free_.push_back(place);
 }
 
-Loop::Timer Loop::at(Span when, std::function<void()> what) {
+Loop::Timer Loop::at(Duration when, std::function<void()> what) {
   const Timer timer{when, next_timer_++};
   timers_.emplace(timer, std::move(what));
   return timer;
@@ -89,9 +89,10 @@
   int patience = -1;
   read_clock();
   end_turn();
-  const Span waits_from = now_;
+  const Duration waits_from = now_;
   if (!timers_.empty()) {
-    const Span left = clock_.machine_time(std::max(timers_.begin()->first.first - now_, Span::zero()));
+    const Duration left =
+        clock_.machine_time(std::max(timers_.begin()->first.first - now_, Duration::zero()));
     patience = static_cast<int>(std::min<std::int64_t>((left.count() + 999) / 1000, 60'000));
   }
   std::array<epoll_event, 256> room;  // not the loop's own: a turn may be taken within a turn
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -28,31 +28,33 @@
 
 class Loop {
  public:
-  using Timer = std::pair<Span, std::uint64_t>;
+  using Timer = std::pair<Duration, std::uint64_t>;
 
   explicit Loop(const TimeSource& clock = machine_clock());
 
   const TimeSource& clock() const { return clock_; }
 
   // The clock of the present turn, read once in each; since the loop was made.
-  Span now() const { return now_; }
+  Duration now() const { return now_; }
   void read_clock();
 
   // A watch ends with forget(), which is safe while events of the same round are being told.
   std::uint32_t watch(int fd, Watcher& watcher);
   void forget(int fd, std::uint32_t place);
 
-  Timer at(Span when, std::function<void()> what);
+  Timer at(Duration when, std::function<void()> what);
   void cancel(const Timer& timer) { timers_.erase(timer); }
 
   // From when it was due, the time of a timer or the end of the wait, to the next wait.
   struct Turn {
-    Span took{};
-    Span processor{};  // what the process used of it; much less than `took`: others had the machine
+    Duration took{};
+    Duration processor{};  // what the process used of it; much less than `took`: others had the machine
   };
   // Whoever is given here is told at its end of each turn that took longer.
-  void tell_long_turns(Span limit, std::function<void(const Turn&)> told);
-  Span take_longest_turn() { return std::exchange(longest_turn_, Span::zero()); }  // since the last time
+  void tell_long_turns(Duration limit, std::function<void(const Turn&)> told);
+  Duration take_longest_turn() {
+    return std::exchange(longest_turn_, Duration::zero());
+  }  // since the last time
 
   // Waits for what is ready, until the next timer at the latest, and tells it.
   void gather();
@@ -69,14 +71,14 @@
 
   const TimeSource& clock_;
   Descriptor epoll_;
-  Span start_;
-  Span now_{};
+  Duration start_;
+  Duration now_{};
   std::vector<Place> places_;
   std::vector<std::uint32_t> free_;
   std::map<Timer, std::function<void()>> timers_;
   std::uint64_t next_timer_ = 0;
-  std::optional<Span> turn_began_;  // none before the first
-  Span longest_turn_{}, long_turn_ = Span::max();
+  std::optional<Duration> turn_began_;  // none before the first
+  Duration longest_turn_{}, long_turn_ = Duration::max();
   std::clock_t used_ = std::clock();  // of the processor, until the present turn
   std::function<void(const Turn&)> long_turn_told_;
 };
--- a/src/operator_file/terms.cpp
+++ b/src/operator_file/terms.cpp
@@ -12,7 +12,7 @@
 constexpr std::array<std::string_view, 4> kLevels{"debug", "info", "warning", "error"};
 constexpr std::array<const char*, 3> kProofs{"never", "in-doubt", "always"};
 
-Span span(const json& from, const char* key) { return Span(config::integer(from, key)); }
+Duration span(const json& from, const char* key) { return Duration(config::integer(from, key)); }
 
 json put_rules(const addresses::Rules& rules, bool attempt_stated) {
   json prefer = json::array();
--- a/src/rig/bent.cpp
+++ b/src/rig/bent.cpp
@@ -130,27 +130,28 @@
 void BentClock::follow() const {
   const double rate = bends().rate;
   if (rate == rate_) return;
-  const Span machine = machine_.steady();
+  const Duration machine = machine_.steady();
   own_then_ +=
-      Span(static_cast<std::int64_t>(static_cast<double>((machine - machine_then_).count()) * rate_));
+      Duration(static_cast<std::int64_t>(static_cast<double>((machine - machine_then_).count()) * rate_));
   machine_then_ = machine;
   rate_ = rate;
 }
 
-Span BentClock::steady() const {
+Duration BentClock::steady() const {
   follow();
-  return own_then_ + Span(static_cast<std::int64_t>(
+  return own_then_ + Duration(static_cast<std::int64_t>(
                          static_cast<double>((machine_.steady() - machine_then_).count()) * rate_));
 }
 
 // What is off shows on the wall clock too, as on a machine that nothing corrects.
-Span BentClock::wall() const {
-  return machine_.wall() + (steady() - machine_.steady()) + Span(std::chrono::milliseconds(bends().step_ms));
+Duration BentClock::wall() const {
+  return machine_.wall() + (steady() - machine_.steady()) +
+         Duration(std::chrono::milliseconds(bends().step_ms));
 }
 
-Span BentClock::machine_time(Span own) const {
+Duration BentClock::machine_time(Duration own) const {
   follow();
-  return Span(static_cast<std::int64_t>(static_cast<double>(own.count()) / std::max(rate_, 0.001)));
+  return Duration(static_cast<std::int64_t>(static_cast<double>(own.count()) / std::max(rate_, 0.001)));
 }
 
 std::unique_ptr<disk::File> BentDisk::create(const std::string& path, unsigned mode) {
--- a/src/rig/bent.h
+++ b/src/rig/bent.h
@@ -35,14 +35,14 @@
 class BentClock final : public TimeSource {
  public:
   BentClock();
-  Span steady() const override;
-  Span wall() const override;
-  Span machine_time(Span own) const override;
+  Duration steady() const override;
+  Duration wall() const override;
+  Duration machine_time(Duration own) const override;
 
  private:
   void follow() const;  // a rate that changed counts from now on
   MachineTime machine_;
-  mutable Span machine_then_{}, own_then_{};
+  mutable Duration machine_then_{}, own_then_{};
   mutable double rate_ = 1;
 };
 
--- a/src/rig/flawed.cpp
+++ b/src/rig/flawed.cpp
@@ -250,7 +250,7 @@
       auto out = std::make_unique<Between>();
       out->relay = std::make_unique<marbledyke::rig::Relay>(loop, beside(1), list, 1);
       marbledyke::rig::Way back;
-      back.delay = marbledyke::Span(static_cast<std::int64_t>(figure * 1e6));
+      back.delay = marbledyke::Duration(static_cast<std::int64_t>(figure * 1e6));
       out->relay->set({}, back);
       return out;
     });
--- a/src/rig/process.cpp
+++ b/src/rig/process.cpp
@@ -41,18 +41,18 @@
   return status_;
 }
 
-void run_for(net::Loop& loop, Span time) {
+void run_for(net::Loop& loop, Duration time) {
   loop.read_clock();
-  const Span until = loop.now() + time;
+  const Duration until = loop.now() + time;
   while (loop.now() < until) {
     loop.at(until, [] {});
     loop.gather();
   }
 }
 
-bool run_until(net::Loop& loop, Span limit, const std::function<bool()>& holds) {
+bool run_until(net::Loop& loop, Duration limit, const std::function<bool()>& holds) {
   loop.read_clock();
-  const Span until = loop.now() + limit;
+  const Duration until = loop.now() + limit;
   while (!holds()) {
     if (loop.now() >= until) return false;
     run_for(loop, 10ms);
@@ -63,7 +63,7 @@
 namespace {
 
 // Runs the loop until the other side has closed, the answer is whole, or the time is up.
-std::string exchange(net::Loop& loop, const net::Address& to, const std::string& bytes, Span limit,
+std::string exchange(net::Loop& loop, const net::Address& to, const std::string& bytes, Duration limit,
                      const std::function<bool(std::string_view)>& whole) {
   std::string out;
   net::Descriptor fd = net::start_connect(to);
@@ -92,12 +92,12 @@
 
 }  // namespace
 
-std::string raw_call(net::Loop& loop, const net::Address& to, const std::string& bytes, Span limit) {
+std::string raw_call(net::Loop& loop, const net::Address& to, const std::string& bytes, Duration limit) {
   return exchange(loop, to, bytes, limit, [](std::string_view) { return false; });
 }
 
 Answer call(net::Loop& loop, const net::Address& to, const std::string& method, const std::string& target,
-            const std::string& body, Span limit) {
+            const std::string& body, Duration limit) {
   const auto reader = [] { return net::HttpReader(net::HttpReader::Kind::answer, 64 * 1024 * 1024); };
   const auto done = [&](std::string_view text) {
     net::HttpReader one = reader();
