--- a/src/rig/process.h
+++ b/src/rig/process.h
@@ -46,12 +46,12 @@
 };
 // Runs the loop meanwhile.
 Answer call(net::Loop& loop, const net::Address& to, const std::string& method, const std::string& target,
-            const std::string& body = {}, Span limit = Span(3'000'000));
+            const std::string& body = {}, Duration limit = Duration(3'000'000));
 // Sends bytes as they are and gives what came back until the other side closed or the time was up.
-std::string raw_call(net::Loop& loop, const net::Address& to, const std::string& bytes, Span limit);
-void run_for(net::Loop& loop, Span time);
+std::string raw_call(net::Loop& loop, const net::Address& to, const std::string& bytes, Duration limit);
+void run_for(net::Loop& loop, Duration time);
 // Runs the loop until it holds, asked every 10 ms; false where the limit came first.
-bool run_until(net::Loop& loop, Span limit, const std::function<bool()>& holds);
+bool run_until(net::Loop& loop, Duration limit, const std::function<bool()>& holds);
 
 // CPU seconds and resident bytes, by /proc.
 struct Used {
--- a/src/rig/relay.cpp
+++ b/src/rig/relay.cpp
@@ -11,14 +11,14 @@
 
 constexpr std::size_t kMostHeld = 4 * 1024 * 1024;  // of a direction of a connection; more is not read
 constexpr std::size_t kRing = 256 * 1024;
-constexpr Span kTrickleStep = 10ms;
-constexpr Span kConnect = 100ms;  // to the other side, or both are reset
+constexpr Duration kTrickleStep = 10ms;
+constexpr Duration kConnect = 100ms;  // to the other side, or both are reset
 
 // So many bytes at a time, and so long in between.
-std::pair<std::size_t, Span> steps_of(std::int64_t trickle) {
+std::pair<std::size_t, Duration> steps_of(std::int64_t trickle) {
   const std::int64_t bytes = trickle * kTrickleStep.count() / 1'000'000;
   if (bytes >= 1) return {static_cast<std::size_t>(bytes), kTrickleStep};
-  return {1, Span(1'000'000 / trickle)};
+  return {1, Duration(1'000'000 / trickle)};
 }
 
 void reset(net::Stream& stream, int fd) {
@@ -34,8 +34,8 @@
 struct Relay::Side {
   std::unique_ptr<net::Stream> stream;  // it comes in here
   int fd = -1;
-  Span jitter{};
-  std::deque<std::pair<Span, std::string>> held;
+  Duration jitter{};
+  std::deque<std::pair<Duration, std::string>> held;
   std::size_t held_bytes = 0;
   std::int64_t passed = 0;
   bool ended = false;
@@ -80,9 +80,9 @@
   pair->number = next_++;
   tally_.connections += 1;
   pairs_.emplace(pair->number, std::move(made));
-  const auto drawn = [this](Span most) {
-    if (most <= 0us) return Span{};
-    return Span(std::uniform_int_distribution<std::int64_t>(0, most.count())(chance_));
+  const auto drawn = [this](Duration most) {
+    if (most <= 0us) return Duration{};
+    return Duration(std::uniform_int_distribution<std::int64_t>(0, most.count())(chance_));
   };
   pair->there.jitter = drawn(there_.jitter);
   pair->back.jitter = drawn(back_.jitter);
@@ -159,7 +159,7 @@
   wait(pair, there, std::max(from.held.front().first, loop_.now() + 1ms));
 }
 
-void Relay::wait(Pair& pair, bool there, Span until) {
+void Relay::wait(Pair& pair, bool there, Duration until) {
   pair.side(there).due = loop_.at(until, [this, number = pair.number, there] {
     const auto at = pairs_.find(number);
     if (at == pairs_.end()) return;
--- a/src/rig/relay.h
+++ b/src/rig/relay.h
@@ -20,8 +20,8 @@
 
 // One direction.
 struct Way {
-  Span delay{};
-  Span jitter{};             // drawn anew for each connection, up to this: they overtake each other
+  Duration delay{};
+  Duration jitter{};         // drawn anew for each connection, up to this: they overtake each other
   bool lost = false;         // taken and never delivered
   bool held = false;         // delivered once it is no longer
   std::int64_t trickle = 0;  // bytes a second; 0: as they come
@@ -54,7 +54,7 @@
   void came(net::Descriptor fd);
   void arrived(Pair& pair, bool there);
   void deliver(Pair& pair, bool there);
-  void wait(Pair& pair, bool there, Span until);
+  void wait(Pair& pair, bool there, Duration until);
   void ended(Pair& pair, bool there);
   void drop(Pair& pair, bool reset);
 
--- a/src/rig/site.cpp
+++ b/src/rig/site.cpp
@@ -142,8 +142,8 @@
   run_for(loop_, 15ms);  // longer than it takes to be noticed
 }
 
-bool Site::keeper_up(Machine& machine, Span limit) {
-  const Span until = loop_.now() + limit;
+bool Site::keeper_up(Machine& machine, Duration limit) {
+  const Duration until = loop_.now() + limit;
   while (loop_.now() < until) {
     if (call(loop_, machine.control, "GET", "/healthz", "", 200ms).status == 200) return true;
     run_for(loop_, 10ms);
@@ -160,8 +160,8 @@
 
 json Site::status(Machine& machine) { return call(loop_, machine.control, "GET", "/status").body; }
 
-json Site::settled(Machine& machine, Span limit) {
-  const Span until = loop_.now() + limit;
+json Site::settled(Machine& machine, Duration limit) {
+  const Duration until = loop_.now() + limit;
   while (loop_.now() < until) {
     const json now = status(machine);
     if (now.is_object()) {
--- a/src/rig/site.h
+++ b/src/rig/site.h
@@ -69,14 +69,14 @@
   void start_keeper(Machine& machine);
   void bend(Machine& machine, const nlohmann::json& how);
   // Waits until its control address answers.
-  bool keeper_up(Machine& machine, Span limit = Span(5'000'000));
+  bool keeper_up(Machine& machine, Duration limit = Duration(5'000'000));
 
   // The next order of epoch 1, and its answer.
   Answer order(Machine& machine, const std::string& kind, const std::string& version = {},
                const nlohmann::json& more = {});
   nlohmann::json status(Machine& machine);
   // Until no order is under way; gives the status, null where the limit came first.
-  nlohmann::json settled(Machine& machine, Span limit = Span(10'000'000));
+  nlohmann::json settled(Machine& machine, Duration limit = Duration(10'000'000));
   // Takes a version in and brings it in force.
   bool bring(Machine& machine, const std::string& version, const Recipe& of);
   // The process that leads; -1 where there is none.
--- a/src/rollout/conductor.cpp
+++ b/src/rollout/conductor.cpp
@@ -17,8 +17,9 @@
                                        "swap failed", "passed",  "too little", "goes on", "stop",
                                        "waited out",  "pause",   "resume",     "back",    "all back",
                                        "back failed", "all told"};
-constexpr Span kOnItsWay = 5s;  // an order that no report shows after this was not taken, and is given again
-constexpr Span kHeard = 2s;     // a report that is so much later was made after it
+constexpr Duration kOnItsWay =
+    5s;                          // an order that no report shows after this was not taken, and is given again
+constexpr Duration kHeard = 2s;  // a report that is so much later was made after it
 constexpr const char* kAtNames[] = {"old",          "ordered", "on_trial", "confirmed",
                                     "back_ordered", "back",    "held"};
 
@@ -303,7 +304,7 @@
 }
 
 Conductor::Conductor(const Plan& plan, const std::vector<Member>& members, Kept kept, std::uint64_t epoch,
-                     Span now, Span wall)
+                     Duration now, Duration wall)
     : plan_(plan),
       members_(members),
       stages_(stages_of(plan, members)),
@@ -359,11 +360,11 @@
   acts_.push_back(std::move(out));
 }
 
-std::string Conductor::line(Span horizon) const {
+std::string Conductor::line(Duration horizon) const {
   std::string out = name_of(kept_.state);
   const auto say = [&](const auto& what) { out += ' ' + std::to_string(what); };
-  const auto age = [&](Span when) { say(std::min((now_ - when) / 1ms, horizon / 1ms)); };
-  const auto ages = [&](const std::map<std::string, Span>& of) {
+  const auto age = [&](Duration when) { say(std::min((now_ - when) / 1ms, horizon / 1ms)); };
+  const auto ages = [&](const std::map<std::string, Duration>& of) {
     for (const auto& [name, when] : of) {
       out += ' ' + name;
       age(when);
@@ -390,7 +391,7 @@
     out += ';';
   }
   // Of these only which came later counts.
-  std::vector<std::pair<Span, std::string>> changed;
+  std::vector<std::pair<Duration, std::string>> changed;
   for (const auto& [name, when] : changed_) changed.emplace_back(when, name);
   std::sort(changed.begin(), changed.end());
   for (const auto& [when, name] : changed) out += ' ' + name;
@@ -530,7 +531,7 @@
          now_ - soak_since_ >= plan_.stages[static_cast<std::size_t>(kept_.stage)].soak + plan_.burn_in;
 }
 
-void Conductor::tick(Span now, Span wall) {
+void Conductor::tick(Duration now, Duration wall) {
   now_ = now;
   wall_ = wall;
   confirm_again();
@@ -634,7 +635,7 @@
     if (report == reports_.end() || now_ - last_heard_[name] > kOnItsWay || !at_rest(report->second) ||
         report->second.in_force == plan_.version || report->second.epoch == kept_.epoch)
       continue;
-    const Span last = std::max(again_[name], ordered_[name]);
+    const Duration last = std::max(again_[name], ordered_[name]);
     if (now_ - last < kOnItsWay) continue;
     again_[name] = now_;
     act(Act::What::use, name);
@@ -672,7 +673,7 @@
   for (const std::string& name : of(At::back_ordered)) under_way += settled(name) ? 0 : 1;
   for (const std::string& name : of(At::ordered)) under_way += settled(name) ? 0 : 1;
   bool open = !of(At::back_ordered).empty() || !of(At::ordered).empty(), failed = !of(At::held).empty();
-  std::vector<std::pair<Span, std::string>> left;
+  std::vector<std::pair<Duration, std::string>> left;
   for (const auto& [name, at] : kept_.keepers) {
     if (at == At::on_trial || at == At::confirmed ||
         ((at == At::ordered || at == At::back_ordered) && settled(name)))
--- a/src/rollout/conductor.h
+++ b/src/rollout/conductor.h
@@ -94,8 +94,8 @@
 class Conductor {
  public:
   // A successor is given what was kept, and an epoch above all that the keepers have seen.
-  Conductor(const Plan& plan, const std::vector<Member>& members, Kept kept, std::uint64_t epoch, Span now,
-            Span wall);
+  Conductor(const Plan& plan, const std::vector<Member>& members, Kept kept, std::uint64_t epoch,
+            Duration now, Duration wall);
 
   void start() { on(Happens::start); }
   void report(const std::string& keeper, const Report& report);
@@ -104,7 +104,7 @@
   void pause() { on(Happens::pause); }
   void resume() { on(Happens::resume); }
   void back(const std::string& why);
-  void tick(Span now, Span wall);
+  void tick(Duration now, Duration wall);
 
   std::optional<Act> next();
 
@@ -113,15 +113,15 @@
   bool over() const;
   // Of the stage under way: the soak is over, as far as its time goes.
   bool soak_over() const;
-  Span soaked() const { return now_ - soak_since_; }
+  Duration soaked() const { return now_ - soak_since_; }
   // Who has the new version, on trial or confirmed, and since when on this conductor's clock.
-  const std::map<std::string, Span>& changed() const { return changed_; }
+  const std::map<std::string, Duration>& changed() const { return changed_; }
   const std::vector<std::vector<std::string>>& stages() const { return stages_; }
   std::uint64_t impossible() const { return impossible_; }
   const std::string& said() const { return said_; }  // of the wait, in words
   // All that decides what it does from here on; times as ages of `horizon` at most. Two of one line go on
   // alike.
-  std::string line(Span horizon) const;
+  std::string line(Duration horizon) const;
 
  private:
   struct Cell;
@@ -139,10 +139,10 @@
   std::vector<Member> members_;
   std::vector<std::vector<std::string>> stages_;
   Kept kept_;
-  Span now_{}, wall_{};
-  Span since_{};  // in this state
-  Span soak_since_{}, wait_since_{};
-  std::map<std::string, Span> ordered_, changed_, last_heard_, back_since_, again_;
+  Duration now_{}, wall_{};
+  Duration since_{};  // in this state
+  Duration soak_since_{}, wait_since_{};
+  std::map<std::string, Duration> ordered_, changed_, last_heard_, back_since_, again_;
   std::map<std::string, Report> reports_;
   std::map<std::string, std::uint64_t>
       use_number_;  // of the last order to change that each was given in this epoch
--- a/src/rollout/judge.h
+++ b/src/rollout/judge.h
@@ -52,7 +52,7 @@
   std::uint64_t asked = 0, ended = 0, good = 0, failed = 0, pushed_back = 0, answered = 0, slow = 0,
                 sends = 0, further = 0;
   double cpu = 0;  // seconds; of the side as a whole, so the same in each op type
-  void add(const totals::OpTypeCounts& count, Span slow_from);
+  void add(const totals::OpTypeCounts& count, Duration slow_from);
   void merge(const Side& other);
   // Of that measure; none where too little was asked to say.
   std::optional<double> share(Measure measure, int least) const;
@@ -122,7 +122,7 @@
   void memory(double bytes_a_minute_new, double bytes_a_minute_old, double minutes);
 
   // The slow mark of an op type, once enough is known; none before.
-  std::optional<Span> slow_from(const std::string& op_type) const;
+  std::optional<Duration> slow_from(const std::string& op_type) const;
   void learn_latencies(const std::string& op_type, const totals::LatencyHistogram& latencies);
 
   Finding look(bool soak_over) const;
--- a/src/scenario/draw.cpp
+++ b/src/scenario/draw.cpp
@@ -93,8 +93,8 @@
   const int faults = whole(1, 4);
   if (s.faults.size() > 1) s.faults.resize(1);
   for (Fault& f : s.faults) {
-    f.from = std::min(f.from, Span(6s));
-    f.until = std::clamp(f.until, f.from + 500ms, Span(10s));
+    f.from = std::min(f.from, Duration(6s));
+    f.until = std::clamp(f.until, f.from + 500ms, Duration(10s));
     if (f.kind == FaultKind::kill_gatherer) f.first = -1;
   }
   for (int i = 0; i < faults; ++i) {
--- a/src/scenario/scenario.cpp
+++ b/src/scenario/scenario.cpp
@@ -110,7 +110,7 @@
 
 Terms terms_of(const Scenario& s, int zone) {
   Terms out;
-  const auto micros = [](Span span) { return static_cast<double>(span.count()); };
+  const auto micros = [](Duration span) { return static_cast<double>(span.count()); };
   for (std::size_t i = 0; i < s.op_types.size(); ++i) {
     const OpLoad& op = s.op_types[i];
     const std::string at = "categories." + std::to_string(i) + ".";
--- a/src/scenario/scenario.h
+++ b/src/scenario/scenario.h
@@ -19,12 +19,12 @@
   Effect effect = Effect::retriable;
   double share = 1;  // of the multigets, among the op types
   int parts = 4;
-  Span work{20'000};  // mean of one part
+  Duration work{20'000};  // mean of one part
   Shape shape = Shape::exponential;
-  double sigma = 1;         // lognormal: of the logarithm
-  Span budget{1'000'000};   // latency budget
-  Span timeout{3'000'000};  // route timeout: how long the client waits
-  Span dedupe_window{2'000'000};
+  double sigma = 1;             // lognormal: of the logarithm
+  Duration budget{1'000'000};   // latency budget
+  Duration timeout{3'000'000};  // route timeout: how long the client waits
+  Duration dedupe_window{2'000'000};
   double importance = 1;
   double floor = 1;  // least share of parts for any answer
   double need = 1;   // share of parts for a whole one
@@ -35,32 +35,32 @@
   int cells = 1;
   int zones = 1;
   int shards = 16;
-  int cores = 2;       // of a server
-  int queue = 200;     // parts that wait at a server; beyond that it turns away
-  Span overhead{500};  // work of a call, once for the parts in it
-  Span cold{10'000'000};
-  double cold_from = 0.2;        // speed at the start of a cold start
-  double fall_multiple = 2;      // a cold server falls over at this multiple of what it can do
-  Span overload_for{1'000'000};  // over that long
+  int cores = 2;           // of a server
+  int queue = 200;         // parts that wait at a server; beyond that it turns away
+  Duration overhead{500};  // work of a call, once for the parts in it
+  Duration cold{10'000'000};
+  double cold_from = 0.2;            // speed at the start of a cold start
+  double fall_multiple = 2;          // a cold server falls over at this multiple of what it can do
+  Duration overload_for{1'000'000};  // over that long
 };
 
 struct Network {
-  Span near{200};  // one way, within a zone
-  Span far{2'000};
-  double jitter = 0.2;  // share of the delay that is drawn, exponentially
-  Span connect{1'000};  // what opening a connection takes beside two ways
-  Span connect_timeout{250'000};
+  Duration near{200};  // one way, within a zone
+  Duration far{2'000};
+  double jitter = 0.2;      // share of the delay that is drawn, exponentially
+  Duration connect{1'000};  // what opening a connection takes beside two ways
+  Duration connect_timeout{250'000};
 };
 
 struct ListService {
-  Span lag{50'000};  // from a change to the last gatherer's knowing it, drawn evenly
-  Span drain_grace{500'000};
+  Duration lag{50'000};  // from a change to the last gatherer's knowing it, drawn evenly
+  Duration drain_grace{500'000};
 };
 
 struct Load {
   double rate = 100;  // multigets a second, at all gatherers together
   int retries = 0;    // of a client, after a push-back, a failure or no answer
-  Span backoff{100'000};
+  Duration backoff{100'000};
   double leaves = 0;  // share of clients that leave before their time
 };
 
@@ -69,8 +69,8 @@
   int room = 4000;  // multigets and parts in hand
   int most_sends = 3;
   bool copies = true;
-  bool kept = false;                // each under a keeper
-  Span further_window{10'000'000};  // the stated budget of further sends
+  bool kept = false;                    // each under a keeper
+  Duration further_window{10'000'000};  // the stated budget of further sends
   double further_share = 0.2;
   double further_floor = 20;
 };
@@ -112,18 +112,18 @@
 // next server so much later.
 struct Fault {
   FaultKind kind = FaultKind::crash;
-  Span from{}, until{};
+  Duration from{}, until{};
   double share = 0.1;
   int zone = -1, cell = -1;  // -1: any
   int first = -1;            // from this server (or gatherer) on in order; -1: drawn
   double strength = 1;
-  Span step{};
+  Duration step{};
 };
 
 struct Scenario {
   std::string name = "unnamed";
-  Span length{30'000'000};
-  Span settle{5'000'000};  // not counted in results
+  Duration length{30'000'000};
+  Duration settle{5'000'000};  // not counted in results
   Fleet fleet;
   Network network;
   ListService list;
--- a/src/scenario/xml.cpp
+++ b/src/scenario/xml.cpp
@@ -11,7 +11,7 @@
 using xml::Element;
 using xml::Reader;
 
-constexpr Span kLong = 24h;
+constexpr Duration kLong = 24h;
 constexpr const char* kEffects[] = {"retriable", "deduped", "non-retriable"};
 constexpr const char* kShapes[] = {"constant", "exponential", "lognormal"};
 
@@ -165,7 +165,7 @@
   const auto put = [&](const char* name, const std::string& value) {
     out += std::string(" ") + name + "=\"" + value + '"';
   };
-  const auto span = [&](const char* name, Span value) { put(name, xml::text_of(value)); };
+  const auto span = [&](const char* name, Duration value) { put(name, xml::text_of(value)); };
   const auto count = [&](const char* name, int value) { put(name, std::to_string(value)); };
   const auto real = [&](const char* name, double value) { put(name, number(value)); };
   put("name", s.name);
--- a/src/search/desk.cpp
+++ b/src/search/desk.cpp
@@ -87,7 +87,7 @@
 
 // ---- sessions ----
 
-void Desk::clock(Span now) {
+void Desk::clock(Duration now) {
   now_ = now;
   while (!by_hearing_.empty() && by_hearing_.begin()->first + limits_.idle <= now_) {
     const Session session = by_hearing_.begin()->second;
@@ -110,8 +110,8 @@
   }
 }
 
-std::optional<Span> Desk::next_wake() const {
-  std::optional<Span> out;
+std::optional<Duration> Desk::next_wake() const {
+  std::optional<Duration> out;
   if (!by_hearing_.empty()) out = by_hearing_.begin()->first + limits_.idle;
   if (!by_use_.empty()) {
     const Set& set = *by_use_.begin()->second;
@@ -322,7 +322,7 @@
   replies_.push_back(std::move(reply));
 }
 
-void Desk::fail(Operation operation, Running& running, Trouble what, std::string detail, Span come_back) {
+void Desk::fail(Operation operation, Running& running, Trouble what, std::string detail, Duration come_back) {
   running.reply.diagnostic = {what, std::move(detail)};
   running.reply.come_back = come_back;
   running.reply.records.clear();
@@ -409,7 +409,7 @@
     return at_once(session, Trouble::set_exists, ask_for.set);
   if (old == state->second.sets.end() && state->second.sets.size() >= limits_.sets) {
     // Sessions over HTTP never say that they need one no more: the oldest goes. Others are told.
-    if (ask_for.life <= Span::zero())
+    if (ask_for.life <= Duration::zero())
       return at_once(session, Trouble::too_many_sets, std::to_string(limits_.sets));
   }
   set->database = database;
@@ -417,7 +417,7 @@
   set->sort = ask_for.sort;
   set->once = settings_.op_types[static_cast<std::size_t>(set->place.op_type)].non_retriable;
   set->name = ask_for.set;
-  set->life = ask_for.life > Span::zero() ? std::min(ask_for.life, limits_.set_life) : limits_.set_life;
+  set->life = ask_for.life > Duration::zero() ? std::min(ask_for.life, limits_.set_life) : limits_.set_life;
   // A set is asked for with records only as far as they may be fetched again.
   Running running = running_for(Step::search, set, when);
   running.schema = *schema;
@@ -572,7 +572,7 @@
   }
 }
 
-void Desk::refused(Operation operation, front::Refusal why, Span come_back) {
+void Desk::refused(Operation operation, front::Refusal why, Duration come_back) {
   const auto at = operations_.find(operation);
   if (at == operations_.end()) return;
   // The search itself is done: the client has its hits, and the records that cannot be had now are marked.
--- a/src/search/desk.h
+++ b/src/search/desk.h
@@ -47,7 +47,7 @@
   std::optional<ByHits> by_hits;  // instead of the count
   std::string schema;             // by name or identifier; empty: the database's first
   std::vector<SortKey> sort;
-  Span life{};  // of the set, as the client would have it; zero: the operator's
+  Duration life{};  // of the set, as the client would have it; zero: the operator's
 };
 
 struct PresentAsk {
@@ -76,17 +76,17 @@
   bool whole = true;  // every shard concerned has answered
   int shards = 0, answered = 0;
   std::string set, schema, database;
-  Span set_life{};
+  Duration set_life{};
   std::vector<Delivered> records;
   int next = 0;  // position of the next record; 0: none
   std::vector<ScanTerm> terms;
-  int position = 0;  // of the term asked for, among the terms
-  Span come_back{};  // where nothing has run: when to try again; zero: no advice
+  int position = 0;      // of the term asked for, among the terms
+  Duration come_back{};  // where nothing has run: when to try again; zero: no advice
 };
 
 struct When {
-  Span sent_by{};                // its first byte was here then
-  std::optional<Span> patience;  // as the client says
+  Duration sent_by{};                // its first byte was here then
+  std::optional<Duration> patience;  // as the client says
 };
 
 struct DeskTally {
@@ -100,7 +100,7 @@
   // Throws config::BadInput where the terms name what the platform's do not know.
   Desk(const Terms& terms, const config::ServiceSettings& settings, std::uint32_t seed);
 
-  void clock(Span now);
+  void clock(Duration now);
 
   // None where as many are open as may be.
   std::optional<Session> open();
@@ -126,12 +126,12 @@
   std::optional<Reply> next_reply();
   std::optional<front::Request> next_ask();  // its caller is the operation
   std::optional<std::uint64_t> next_left();
-  std::optional<Session> next_close();    // has said nothing for too long
-  std::optional<Span> next_wake() const;  // when clock() may bring something about
+  std::optional<Session> next_close();        // has said nothing for too long
+  std::optional<Duration> next_wake() const;  // when clock() may bring something about
 
   // How a multiget ended.
   void answered(Operation operation, bool whole, const std::vector<front::Value>& values);
-  void refused(Operation operation, front::Refusal why, Span come_back);
+  void refused(Operation operation, front::Refusal why, Duration come_back);
 
   const Terms& terms() const { return terms_; }
   const Limits& limits() const { return limits_; }
@@ -157,7 +157,7 @@
     int shards = 0, answered = 0;             // of its search
     std::map<int, std::vector<Record>> kept;  // once: by shard
     std::size_t kept_bytes = 0;
-    Span life{}, used{};
+    Duration life{}, used{};
     std::uint64_t use = 0;  // its place among all uses
     Session owner = 0;
     std::string name;
@@ -165,7 +165,7 @@
   };
   using SetRef = std::shared_ptr<Set>;
   struct SessionState {
-    Span heard{};
+    Duration heard{};
     std::map<std::string, SetRef> sets;
     std::set<std::string> deleted;  // by this program, unasked
     std::set<Operation> operations;
@@ -181,7 +181,7 @@
     bool new_set = false;
     ScanAsk scan;
     int shards = 0;
-    Span sent_by{}, patience{};
+    Duration sent_by{}, patience{};
     std::map<int, std::pair<int, std::vector<Record>>> have;  // by shard: from which record on, and these
     Reply reply;
   };
@@ -196,7 +196,7 @@
   Operation at_once(Session session, Trouble what, std::string detail = {});
   void finish(Operation operation, Running& running);
   void fail(Operation operation, Running& running, Trouble what, std::string detail = {},
-            Span come_back = {});
+            Duration come_back = {});
   void ask(Operation operation, Running& running, const PartAsk& part, const std::vector<int>& shards);
   Answers read(const std::vector<front::Value>& values);
   void searched(Operation operation, Running& running, const Answers& in);
@@ -220,11 +220,12 @@
   const Limits limits_;
   const config::ServiceSettings& settings_;
   std::mt19937 chance_;
-  Span now_{};
+  Duration now_{};
   std::map<std::pair<const Database*, const Index*>, Place> places_;
   std::map<Session, SessionState> sessions_;
-  std::set<std::pair<Span, Session>> by_hearing_;
-  std::map<std::pair<Span, std::uint64_t>, SetRef> by_use_;  // all listed sets, the least recently used first
+  std::set<std::pair<Duration, Session>> by_hearing_;
+  std::map<std::pair<Duration, std::uint64_t>, SetRef>
+      by_use_;  // all listed sets, the least recently used first
   std::map<Operation, Running> operations_;
   std::deque<Reply> replies_;
   std::deque<front::Request> asks_;
--- a/src/search/desk_front.cpp
+++ b/src/search/desk_front.cpp
@@ -23,7 +23,7 @@
   pump();
 }
 
-void DeskFront::refuse(std::uint64_t caller, front::Refusal why, Span come_back) {
+void DeskFront::refuse(std::uint64_t caller, front::Refusal why, Duration come_back) {
   desk_.clock(loop_.now());
   desk_.refused(caller, why, come_back);
   pump();
@@ -70,7 +70,7 @@
   if (wake_) loop_.cancel(*wake_);
   wake_.reset();
   if (const auto at = desk_.next_wake())
-    wake_ = loop_.at(std::max(*at, loop_.now() + Span(1'000)), [this] {
+    wake_ = loop_.at(std::max(*at, loop_.now() + Duration(1'000)), [this] {
       wake_.reset();
       pump();
     });
--- a/src/search/desk_front.h
+++ b/src/search/desk_front.h
@@ -17,7 +17,7 @@
   ~DeskFront() override;
 
   void answer(std::uint64_t caller, bool whole, const std::vector<front::Value>& values) final;
-  void refuse(std::uint64_t caller, front::Refusal why, Span come_back) final;
+  void refuse(std::uint64_t caller, front::Refusal why, Duration come_back) final;
 
   const Desk& desk() const { return desk_; }
 
--- a/src/search/terms.h
+++ b/src/search/terms.h
@@ -33,8 +33,8 @@
 struct Database {
   std::string name, title, description;
   std::string op_type;
-  std::vector<int> shards;   // empty: all
-  Span deadline{2'000'000};  // of a client that names none
+  std::vector<int> shards;       // empty: all
+  Duration deadline{2'000'000};  // of a client that names none
   std::vector<Schema> schemas{{"dc", "info:srw/schema/1/dc-v1.1"}};
   std::vector<Index> indexes;
 };
@@ -44,8 +44,8 @@
   std::size_t sets = 20;  // of one session
   std::size_t all_sets = 5000;
   std::size_t kept = 16 * 1024 * 1024;  // bytes of records kept with sets whose search may not run again
-  Span set_life{600'000'000};           // a set that nobody uses for so long is forgotten
-  Span idle{300'000'000};               // and a session that says nothing
+  Duration set_life{600'000'000};       // a set that nobody uses for so long is forgotten
+  Duration idle{300'000'000};           // and a session that says nothing
   std::size_t operations = 4;           // of one session under way
   int records = 50;                     // of one answer
   int deepest = 1000;                   // first records of a sorted set that can be reached
--- a/src/servers/servers.cpp
+++ b/src/servers/servers.cpp
@@ -24,7 +24,7 @@
 // A connection that only tells whether an address in doubt is sound again.
 struct Servers::Trial {
   addresses::Trial what;
-  Span started{};
+  Duration started{};
   std::unique_ptr<net::Stream> stream;
   FrameReader reader;
   net::Loop::Timer expiry;
@@ -37,8 +37,8 @@
   struct Out {
     Errand errand;
     Stage stage = Stage::queued;
-    Span given_at{};    // its frame was begun, and then: it was written
-    bool over = false;  // ended while its frame was being written, so that a frame 2 must follow
+    Duration given_at{};  // its frame was begun, and then: it was written
+    bool over = false;    // ended while its frame was being written, so that a frame 2 must follow
     net::Loop::Timer expiry;
   };
 
@@ -63,12 +63,12 @@
   bool reading_on = false;          // a frame has begun and its rest is being waited for
   std::map<std::string, Out> outs;  // by wire id
   std::deque<Pending> pending;
-  Pending writing;                       // the one whose bytes are in the ring; letter 0: none
-  std::map<std::string, Span> given_up;  // wire ids that may still be answered here, and until when
-  bool trusted = true;                   // false once it kept silent over something it had been given
-  Span last_heard{}, last_used{};
+  Pending writing;                           // the one whose bytes are in the ring; letter 0: none
+  std::map<std::string, Duration> given_up;  // wire ids that may still be answered here, and until when
+  bool trusted = true;                       // false once it kept silent over something it had been given
+  Duration last_heard{}, last_used{};
   bool probing = false, probe_written = false;
-  Span probe_at{};
+  Duration probe_at{};
   std::optional<net::Loop::Timer> probe_expiry, idle_expiry;
 };
 
@@ -687,7 +687,7 @@
 // was given for as long as a new one may take to come up, new sends go over another, which tells a vanished
 // machine by not coming up: proof that they never ran, without which non-retriable parts are lost. It is
 // trusted again when it speaks. Harm: a server that is only slow gets a few more connections.
-void Servers::doubt(Link& link, Span since) {
+void Servers::doubt(Link& link, Duration since) {
   if (link.last_heard > since || loop_.now() - since < settings_.connect_timeout) return;
   if (std::exchange(link.trusted, false) && !link.answered) {
     book_.failed(link.server, link.address, addresses::End::silent, loop_.now());
@@ -716,7 +716,7 @@
   if (!wanted(link)) return drop(link, link.trusted ? "its server takes nothing new" : "it kept silent");
   if (link.idle_expiry) return;
   const std::uint64_t number = link.number;
-  const Span allowed =
+  const Duration allowed =
       std::max(settings_.idle_timeout - settings_.connect_timeout, settings_.idle_timeout / 2);
   link.idle_expiry = loop_.at(link.last_used + allowed, [this, number, allowed] {
     const auto at = links_.find(number);
--- a/src/servers/servers.h
+++ b/src/servers/servers.h
@@ -30,16 +30,16 @@
   bool once = false;  // may never be sent again if it may have run
   std::string more;   // what its list holds beside the time left
   std::shared_ptr<const std::string> text;
-  Span not_past{};
-  Span begun_by = Span::max();
-  Span pulled{};
+  Duration not_past{};
+  Duration begun_by = Duration::max();
+  Duration pulled{};
 };
 
 struct Ended {
   Rid part;
   int send = 0;
   Fate fate = Fate::unused;
-  Span elapsed{};
+  Duration elapsed{};
   LoadReport report;
   double score = 0;
   std::string value;
@@ -48,7 +48,7 @@
 struct Probed {
   std::string server;
   Fate fate = Fate::unused;
-  Span elapsed{};
+  Duration elapsed{};
   LoadReport report;
 };
 
@@ -85,7 +85,7 @@
   std::vector<Probed> probed;
 
   // The end of the last time when no server said anything for some ticks, with sends out.
-  Span silent_until() const { return silent_until_; }
+  Duration silent_until() const { return silent_until_; }
 
   const Tally& tally() const { return tally_; }
   const addresses::Book& book() const { return book_; }
@@ -122,7 +122,7 @@
   void end(const Errand& errand, Fate fate, PartAnswer answer = {});
   void give_up(const SendKey& key, Fate fate);
   void end_probe(Link& link, Fate fate, LoadReport report = {});
-  void doubt(Link& link, Span since);
+  void doubt(Link& link, Duration since);
   void rest(Link& link);
   bool up(std::string_view server) const;  // listed, and takes something new
   bool wanted(const Link& link) const;
@@ -142,7 +142,7 @@
   std::vector<std::unique_ptr<net::Stream>> stream_graves_;
   std::map<SendKey, std::pair<std::uint64_t, std::string>> out_;  // link and wire id of each send that is out
   std::uint64_t next_link_ = 1, next_trial_ = 1;
-  Span heard_{}, silent_until_ = Span::min() / 2;
+  Duration heard_{}, silent_until_ = Duration::min() / 2;
   Tally tally_;
 };
 
--- a/src/sru/front.cpp
+++ b/src/sru/front.cpp
@@ -10,9 +10,9 @@
 using namespace std::chrono_literals;
 using search::Trouble;
 
-constexpr Span kSweep = 100ms;
-constexpr Span kSaysNothing = 2s;  // before its first request, or within one
-constexpr Span kIdle = 60s;        // between requests
+constexpr Duration kSweep = 100ms;
+constexpr Duration kSaysNothing = 2s;  // before its first request, or within one
+constexpr Duration kIdle = 60s;        // between requests
 constexpr std::size_t kMostAnswer = 16 * 1024 * 1024;
 constexpr std::size_t kMostDropped = 256 * 1024;
 
@@ -33,7 +33,7 @@
   std::unique_ptr<net::Stream> stream;
   net::HttpReader reader;
   Request request;
-  Span first_byte{}, since{};
+  Duration first_byte{}, since{};
   search::Operation waits = 0;
   bool in_hand = false, answering = false, spoken = false, stays = true, parting = false;
   std::size_t dropped = 0;
@@ -180,7 +180,7 @@
   say(caller, later ? 503 : 200, body, reply.come_back);
 }
 
-void Front::say(Caller& caller, int status, const std::string& body, Span come_back) {
+void Front::say(Caller& caller, int status, const std::string& body, Duration come_back) {
   if (!check_invariant(caller.in_hand, "an SRU answer belongs to a request in hand")) return;
   caller.in_hand = false;
   caller.answering = true;
@@ -235,7 +235,7 @@
 
 // Every wait on a client has its limit here.
 void Front::sweep() {
-  const Span now = loop_.now();
+  const Duration now = loop_.now();
   std::vector<Caller*> over, unended;
   for (const auto& [number, caller] : callers_) {
     if (caller->in_hand) continue;
@@ -285,7 +285,7 @@
   if (listener_) listener_->stop();
 }
 
-void Front::close_idle(Span since) {
+void Front::close_idle(Duration since) {
   std::vector<Caller*> idle;
   for (const auto& [number, caller] : callers_) {
     if (caller->in_hand || caller->answering || caller->parting) continue;
--- a/src/sru/front.h
+++ b/src/sru/front.h
@@ -25,7 +25,7 @@
   void announce_stop() override;
   void stop_accepting() override;
   void close_after_answers() override;
-  void close_idle(Span since) override;
+  void close_idle(Duration since) override;
   bool release_connection() override;
   bool empty() const override { return callers_.empty(); }
   std::size_t size() const override { return callers_.size(); }
@@ -43,7 +43,7 @@
   void came(net::Descriptor fd);
   void arrived(Caller& caller);
   void request(Caller& caller);
-  void say(Caller& caller, int status, const std::string& body, Span come_back = {});
+  void say(Caller& caller, int status, const std::string& body, Duration come_back = {});
   void drained(Caller& caller);
   void part(Caller& caller);
   void close(Caller& caller);
--- a/src/sru/message.cpp
+++ b/src/sru/message.cpp
@@ -516,7 +516,7 @@
   out.put(name("numberOfRecords").c_str(), reply.hits);
   const bool has_set = !reply.set.empty() && reply.diagnostic.what == Trouble::none;
   if (has_set) out.put(name("resultSetId").c_str(), reply.set);
-  if (has_set && reply.set_life > Span::zero())
+  if (has_set && reply.set_life > Duration::zero())
     out.put(name(two ? "resultSetTTL" : "resultSetIdleTime").c_str(),
             reply.set_life / std::chrono::seconds(1));
   if (!reply.records.empty()) {
--- a/src/sru/message.h
+++ b/src/sru/message.h
@@ -29,11 +29,11 @@
   int first = 1, count = 10;
   std::string schema;
   bool as_string = false;  // records go as text rather than as XML
-  Span set_life{};
+  Duration set_life{};
   // scan
   std::string index, term;
   int position = 1, terms = 10;
-  std::optional<Span> patience;  // x-deadline-ms, a parameter or a header
+  std::optional<Duration> patience;  // x-deadline-ms, a parameter or a header
 };
 
 // The target's path and query and, for a form that was posted, its body.
--- a/src/standins/histogram.h
+++ b/src/standins/histogram.h
@@ -12,7 +12,7 @@
 
 class Histogram {
  public:
-  void add(Span value) {
+  void add(Duration value) {
     const auto us = static_cast<std::uint64_t>(std::max<std::int64_t>(value.count(), 0));
     const std::size_t at = place(us);
     if (at >= counts_.size()) counts_.resize(at + 1);
@@ -21,18 +21,18 @@
     most_ = std::max(most_, us);
   }
   std::uint64_t count() const { return count_; }
-  Span most() const { return Span(static_cast<std::int64_t>(most_)); }
+  Duration most() const { return Duration(static_cast<std::int64_t>(most_)); }
 
   // The upper edge of the bucket in which that share of the values is reached; zero without values.
-  Span at(double share) const {
+  Duration at(double share) const {
     const auto wanted = static_cast<std::uint64_t>(share * static_cast<double>(count_) + 0.5);
     std::uint64_t sum = 0;
     for (std::size_t i = 0; i < counts_.size(); ++i) {
       sum += counts_[i];
       if (sum >= std::max<std::uint64_t>(wanted, 1))
-        return Span(static_cast<std::int64_t>(std::min(edge(i), most_)));
+        return Duration(static_cast<std::int64_t>(std::min(edge(i), most_)));
     }
-    return Span{};
+    return Duration{};
   }
 
  private:
--- a/src/standins/leaf.cpp
+++ b/src/standins/leaf.cpp
@@ -234,10 +234,10 @@
     }
     std::optional<std::string> its;
     if (value) its = value(text, number);
-    Span service = options_.service;
+    Duration service = options_.service;
     if (options_.spread)
-      service = Span(static_cast<std::int64_t>(-std::log(draw(seed_, ++drawn_)) *
-                                               static_cast<double>(options_.service.count())));
+      service = Duration(static_cast<std::int64_t>(-std::log(draw(seed_, ++drawn_)) *
+                                                   static_cast<double>(options_.service.count())));
     if (service <= 0us) {
       answer(wire.number, id, its);
     } else {
--- a/src/standins/leaf.h
+++ b/src/standins/leaf.h
@@ -32,7 +32,7 @@
 const char* name_of(Door door);
 
 struct LeafOptions {
-  Span service{};       // of one part
+  Duration service{};   // of one part
   bool spread = false;  // service times are drawn from an exponential of that mean
   std::size_t value_size = 8;
   std::size_t most_run = 4'000'000;  // parts it keeps count of by id; beyond that only in sum
@@ -52,7 +52,7 @@
   Door door(int number) const { return doors_[static_cast<std::size_t>(number)].how; }
   const net::Address& address(int number) const { return doors_[static_cast<std::size_t>(number)].address; }
 
-  void slow(Span service) { options_.service = service; }
+  void slow(Duration service) { options_.service = service; }
   void cut_all();      // resets every connection: the process died
   void cut(int door);  // those of one door
 
--- a/src/standins/load.cpp
+++ b/src/standins/load.cpp
@@ -34,7 +34,7 @@
 
 Load::~Load() = default;
 
-double Load::rate_at(Span now) const {
+double Load::rate_at(Duration now) const {
   if (options_.ramp_to <= 0) return options_.rate;
   const double share = std::chrono::duration<double>(now - begun_).count() / options_.seconds;
   return options_.rate + (options_.ramp_to - options_.rate) * share;
@@ -50,7 +50,7 @@
     tally_.due += 1;
     send({next_due_, id});
     const double gap = std::exponential_distribution<double>(rate_at(next_due_))(chance_);
-    next_due_ += Span(static_cast<std::int64_t>(gap * 1e6));
+    next_due_ += Duration(static_cast<std::int64_t>(gap * 1e6));
     finished_ = next_due_ > begun_ + std::chrono::seconds(options_.seconds);
   }
   if (!finished_) loop_.at(next_due_, [this] { next(); });
@@ -95,7 +95,7 @@
 void Load::begin(Connection& connection) {
   ++out_;
   const std::uint64_t number = connection.number;
-  const Span until = connection.request->due + std::chrono::milliseconds(options_.timeout_ms);
+  const Duration until = connection.request->due + std::chrono::milliseconds(options_.timeout_ms);
   connection.limit = loop_.at(until, [this, number] {
     const auto at = connections_.find(number);
     if (at == connections_.end() || !at->second->request) return;
--- a/src/standins/load.h
+++ b/src/standins/load.h
@@ -41,7 +41,7 @@
 
   // False once all has been sent and has come back or timed out.
   bool running() const { return !finished_ || out_ > 0 || !waiting_.empty(); }
-  Span begun() const { return begun_; }
+  Duration begun() const { return begun_; }
   const Tally& tally() const { return tally_; }
   const Histogram& latencies() const { return latencies_; }
   std::string result() const;  // JSON, one line
@@ -49,7 +49,7 @@
  private:
   struct Connection;
   struct Request {
-    Span due{};
+    Duration due{};
     std::string id;
     bool again = false;
   };
@@ -62,13 +62,13 @@
   void ended(Connection& connection);
   void free(Connection& connection);
   void drop(Connection& connection);
-  double rate_at(Span now) const;
+  double rate_at(Duration now) const;
 
   net::Loop& loop_;
   net::Address to_;
   LoadOptions options_;
   std::mt19937 chance_;
-  Span begun_{}, next_due_{};
+  Duration begun_{}, next_due_{};
   bool finished_ = false;
   int out_ = 0;
   std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;
--- a/src/standins/machine.cpp
+++ b/src/standins/machine.cpp
@@ -64,7 +64,7 @@
         told_.work(piece.id, piece.shard).first + (piece.first ? seconds(fleet_.overhead) : 0);
     const double time = work * slow / warmth();
     worked_ += time;
-    loop_.at(loop_.now() + Span(static_cast<std::int64_t>(time * 1e6)),
+    loop_.at(loop_.now() + Duration(static_cast<std::int64_t>(time * 1e6)),
              [this, piece, life = life_] { finished(piece, life); });
   }
 }
--- a/src/standins/machine.h
+++ b/src/standins/machine.h
@@ -29,7 +29,7 @@
 
   Leaf& leaf() { return leaf_; }
   bool alive() const { return alive_; }
-  const std::optional<Span>& started() const { return started_; }
+  const std::optional<Duration>& started() const { return started_; }
   double worked() const { return worked_; }
   std::uint64_t ran() const { return ran_; }
 
@@ -60,7 +60,7 @@
   Told told_;
   std::mt19937 chance_;
   bool alive_ = true, paused_ = false;
-  std::optional<Span> started_;
+  std::optional<Duration> started_;
   std::uint64_t life_ = 1;
   int busy_ = 0;
   std::deque<Piece> queue_;
--- a/src/totals/totals.cpp
+++ b/src/totals/totals.cpp
@@ -41,7 +41,7 @@
 LatencyHistogram::LatencyHistogram(LatencyHistogram&&) noexcept = default;
 LatencyHistogram& LatencyHistogram::operator=(LatencyHistogram&&) noexcept = default;
 
-void LatencyHistogram::add(Span value) {
+void LatencyHistogram::add(Duration value) {
   if (!held_) held_ = std::make_unique<Held>();
   held_->of(static_cast<double>(std::max<std::int64_t>(value.count(), 1)));
 }
@@ -60,9 +60,9 @@
   return out;
 }
 
-Span LatencyHistogram::quantile(double share) const {
+Duration LatencyHistogram::quantile(double share) const {
   const std::uint64_t all = count();
-  if (all == 0) return Span{};
+  if (all == 0) return Duration{};
   const auto wanted = std::clamp<std::uint64_t>(
       static_cast<std::uint64_t>(std::ceil(share * static_cast<double>(all))), 1, all);
   std::uint64_t sum = 0;
@@ -70,13 +70,13 @@
     sum += held_->of.at(i);
     if (sum >= wanted) {
       const double edge = i < 0 ? kLeast : i == kBuckets ? kMost : held_->of.axis().bin(i).upper();
-      return Span(static_cast<std::int64_t>(edge));
+      return Duration(static_cast<std::int64_t>(edge));
     }
   }
-  return Span{};
+  return Duration{};
 }
 
-std::uint64_t LatencyHistogram::count_above(Span value) const {
+std::uint64_t LatencyHistogram::count_above(Duration value) const {
   std::uint64_t out = 0;
   if (!held_) return out;
   const int from = held_->of.axis().index(static_cast<double>(std::max<std::int64_t>(value.count(), 1)));
--- a/src/totals/totals.h
+++ b/src/totals/totals.h
@@ -24,13 +24,13 @@
   LatencyHistogram(LatencyHistogram&&) noexcept;
   LatencyHistogram& operator=(LatencyHistogram&&) noexcept;
 
-  void add(Span value);
+  void add(Duration value);
   void merge(const LatencyHistogram& other);
   std::uint64_t count() const;
   // The upper edge of the bucket in which that share of the values is reached; zero without values.
-  Span quantile(double share) const;
+  Duration quantile(double share) const;
   // Values in buckets that lie wholly above it.
-  std::uint64_t count_above(Span value) const;
+  std::uint64_t count_above(Duration value) const;
 
   // Pairs of bucket and count, those that are not empty. Reading throws config::BadInput.
   nlohmann::json to_json() const;
--- a/src/wirehost/main.cpp
+++ b/src/wirehost/main.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 using marbledyke::Choice;
+using marbledyke::Duration;
 using marbledyke::Fate;
 using marbledyke::Rid;
-using marbledyke::Span;
 using marbledyke::Standing;
 using marbledyke::config::BadInput;
 using marbledyke::config::flatten;
@@ -70,7 +70,7 @@
   std::int64_t epoch = 0;
   bool touched = false;
 
-  Span span(std::int64_t at) const { return Span(at - epoch); }
+  Duration span(std::int64_t at) const { return Duration(at - epoch); }
 };
 
 class Host {
@@ -126,10 +126,10 @@
       arrival(msg, to);
     } else if (type == "Finished") {
       to.choice.send_ended(rid(msg), static_cast<int>(integer(msg, "try")), fate(text(msg, "rc")),
-                           Span(integer_or(msg, "time-taken", 0)), load(msg));
+                           Duration(integer_or(msg, "time-taken", 0)), load(msg));
     } else if (type == "Echo") {
       to.choice.probe_ended(text(msg, "server"), fate(text(msg, "rc")),
-                            Span(integer_or(msg, "time-taken", 0)), load(msg));
+                            Duration(integer_or(msg, "time-taken", 0)), load(msg));
     } else if (type == "Aborted") {
       to.choice.client_left(rid(msg));
     }
@@ -200,7 +200,7 @@
       ask.shard = static_cast<int>(slice);
       ask.weight = number(required(msg, "heft"), "heft");
       ask.key = static_cast<std::uint64_t>(integer_or(msg, "affinity", 0));
-      ask.hint = Span(integer_or(msg, "cost-guess", 0));
+      ask.hint = Duration(integer_or(msg, "cost-guess", 0));
       to.choice.part_taken(ask);
     }
   }
@@ -220,7 +220,7 @@
           say("Answer", std::move(fields));
           break;
         case marbledyke::Ending::push_back:
-          if (verdict->come_back > Span::zero()) fields["backoff"] = verdict->come_back.count();
+          if (verdict->come_back > Duration::zero()) fields["backoff"] = verdict->come_back.count();
           say("Decline", std::move(fields));
           break;
         case marbledyke::Ending::fail:
--- a/src/xml/document.cpp
+++ b/src/xml/document.cpp
@@ -193,15 +193,18 @@
   if (faults_.size() < kMostFaults) faults_.push_back(std::move(fault));
 }
 
-void Reader::span(const Element& at, const char* name, Span least, Span most, Span& into) {
+void Reader::span(const Element& at, const char* name, Duration least, Duration most, Duration& into) {
   const auto text = at.attribute(name);
   if (!text) return;
   std::int64_t count = 0;
   const char* const end = text->data() + text->size();
   const auto [unit_at, wrong] = std::from_chars(text->data(), end, count);
   const std::string_view unit(unit_at, static_cast<std::size_t>(end - unit_at));
-  const Span one = unit == "us" ? Span(1us) : unit == "ms" ? Span(1ms) : unit == "s" ? Span(1s) : Span(60s);
-  const Span value = one * count;
+  const Duration one = unit == "us"   ? Duration(1us)
+                       : unit == "ms" ? Duration(1ms)
+                       : unit == "s"  ? Duration(1s)
+                                      : Duration(60s);
+  const Duration value = one * count;
   if (wrong != std::errc() || value < least || value > most)
     return fault(
         at, std::string(name) + "=\"" + *text + "\": not from " + text_of(least) + " to " + text_of(most));
@@ -237,7 +240,7 @@
                    [](const FileError& a, const FileError& b) { return a.line < b.line; });
 }
 
-std::string text_of(Span span) {
+std::string text_of(Duration span) {
   if (span % 60s == 0s && span > 0s) return std::to_string(span / 60s) + "min";
   if (span % 1s == 0s) return std::to_string(span / 1s) + "s";
   if (span % 1ms == 0s) return std::to_string(span / 1ms) + "ms";
--- a/src/xml/document.h
+++ b/src/xml/document.h
@@ -60,7 +60,7 @@
 
   void fault(const Element& at, std::string reason);
   // Each leaves `into` as it was where the attribute is absent, or out of range, which is a fault.
-  void span(const Element& at, const char* name, Span least, Span most, Span& into);
+  void span(const Element& at, const char* name, Duration least, Duration most, Duration& into);
   void whole(const Element& at, const char* name, int least, int most, int& into);
   void number(const Element& at, const char* name, double least, double most, double& into);
   void flag(const Element& at, const char* name, bool& into);
@@ -73,6 +73,6 @@
   std::size_t by_schema_;
 };
 
-std::string text_of(Span span);  // "100ms": what Reader::span reads
+std::string text_of(Duration span);  // "100ms": what Reader::span reads
 
 }  // namespace marbledyke::xml
--- a/src/z3950/front.cpp
+++ b/src/z3950/front.cpp
@@ -22,8 +22,8 @@
 using search::Reply;
 using search::Trouble;
 
-constexpr Span kSweep = 100ms;
-constexpr Span kSaysNothing = 2s;      // before its Init, or within a message
+constexpr Duration kSweep = 100ms;
+constexpr Duration kSaysNothing = 2s;  // before its Init, or within a message
 constexpr std::size_t kDeepest = 500;  // BER elements within each other
 constexpr std::size_t kMostOut = 16 * 1024 * 1024;
 constexpr std::size_t kEnoughOut = 256 * 1024;  // unread by the client: nothing more is begun for it
@@ -50,7 +50,7 @@
 
 const char* condition(Trouble trouble) { return diagbib1_str(bib1_of(trouble)); }
 
-std::string addition(const Diagnostic& diagnostic, Span come_back) {
+std::string addition(const Diagnostic& diagnostic, Duration come_back) {
   std::string out = diagnostic.detail;
   if (come_back > 0s) {
     if (!out.empty()) out += "; ";
@@ -59,7 +59,7 @@
   return out;
 }
 
-Z_Records* put_diagnostic(ODR odr, const Diagnostic& diagnostic, Span come_back = {}) {
+Z_Records* put_diagnostic(ODR odr, const Diagnostic& diagnostic, Duration come_back = {}) {
   Z_Records* const out = made<Z_Records>(odr);
   out->which = Z_Records_NSD;
   out->u.nonSurrogateDiagnostic =
@@ -169,7 +169,7 @@
   BerScanner scanner;
   std::string bytes;  // of the message that is coming in
   std::string held;   // one that is whole and waits its turn
-  Span first_byte{}, since{};
+  Duration first_byte{}, since{};
   search::Session session = 0;
   bool initialised = false, concurrent = false, segments = false, parting = false;
   std::int64_t preferred = 0, exceptional = 0;  // sizes of messages and records, as agreed
@@ -810,7 +810,7 @@
 
 // Every wait on a client has its limit here; those of whole sessions are the desk's.
 void Front::sweep() {
-  const Span now = loop_.now();
+  const Duration now = loop_.now();
   std::vector<Association*> over, unended, unread;
   for (const auto& [number, at] : associations_) {
     if (at->parting) {
@@ -859,7 +859,7 @@
   for (Association* at : idle) end(*at, Z_Close_shutdown, "this gatherer stops");
 }
 
-void Front::close_idle(Span since) {
+void Front::close_idle(Duration since) {
   std::vector<Association*> idle;
   for (const auto& [number, at] : associations_) {
     if (at->waiting.empty() && !at->parting && at->since < since) idle.push_back(at.get());
--- a/src/z3950/front.h
+++ b/src/z3950/front.h
@@ -29,7 +29,7 @@
   void announce_stop() override {}  // this protocol has no word for it; a Close follows when it is time
   void stop_accepting() override;
   void close_after_answers() override;
-  void close_idle(Span since) override;
+  void close_idle(Duration since) override;
   bool release_connection() override;
   bool empty() const override { return associations_.empty(); }
   std::size_t size() const override { return associations_.size(); }
--- a/tests/address_rig.cpp
+++ b/tests/address_rig.cpp
@@ -26,7 +26,7 @@
 
 // The rule gives 500 ms; this program writes nothing new once it knows, so the rig allows only what was on
 // its way.
-constexpr Span kGrace = 100ms;
+constexpr Duration kGrace = 100ms;
 // And so many turns of the loop, so that a machine that stands still is not taken for a breach.
 constexpr long kGraceTurns = 20;
 
@@ -71,7 +71,7 @@
     servers.listed(news);
   }
 
-  servers::Errand errand_of(bool once, std::size_t size, Span patience) {
+  servers::Errand errand_of(bool once, std::size_t size, Duration patience) {
     servers::Errand errand;
     char digits[17];
     std::snprintf(digits, sizeof digits, "%016llx", static_cast<unsigned long long>(++number));
@@ -84,7 +84,7 @@
     return errand;
   }
 
-  Rid send(const std::string& server, bool once, std::size_t size = 8, Span patience = 3s) {
+  Rid send(const std::string& server, bool once, std::size_t size = 8, Duration patience = 3s) {
     servers::Errand errand = errand_of(once, size, patience);
     const Rid part = errand.part;
     servers.call(server, {std::move(errand)});
@@ -92,7 +92,7 @@
   }
 
   // Sixteen parts of 64 KiB in one call: a frame that fits no buffer on its way.
-  void send_large(const std::string& server, std::vector<Rid>& parts, Span patience) {
+  void send_large(const std::string& server, std::vector<Rid>& parts, Duration patience) {
     std::vector<servers::Errand> call;
     for (int i = 0; i < 16; ++i) {
       call.push_back(errand_of(true, 64 * 1024, patience));
@@ -113,13 +113,13 @@
       turn();
     }
   }
-  void turn(Span most = 5ms) {
+  void turn(Duration most = 5ms) {
     loop.at(loop.now() + most, [] {});
     loop.gather();
     ++turns;
   }
-  void pass(Span time) {
-    for (const Span end = loop.now() + time; loop.now() < end;) turn();
+  void pass(Duration time) {
+    for (const Duration end = loop.now() + time; loop.now() < end;) turn();
   }
 
   net::Loop loop;
@@ -306,7 +306,7 @@
 
 // Four servers of three addresses, doors that change at random, a list that drains, moves and takes away
 // addresses, parts that are sent on by the rule: again only where no earlier send can have run.
-Verdict schedule(std::uint32_t seed, long parts, Span between) {
+Verdict schedule(std::uint32_t seed, long parts, Duration between) {
   standins::LeafOptions options;
   options.service = 2ms;
   options.spread = true;
@@ -317,9 +317,9 @@
   std::vector<std::unique_ptr<Leaf>> leaves;
   struct Listed {
     std::vector<net::Address> addresses;
-    std::map<net::Address, Span> taken;  // when the list took it from the server
+    std::map<net::Address, Duration> taken;  // when the list took it from the server
     bool up = true;
-    Span drained{};
+    Duration drained{};
     long drained_turn = 0, moved_turn = 0;
   };
   std::map<std::string, Listed> listed;
@@ -366,7 +366,7 @@
     for (const auto& leaf : leaves) sum += leaf->runs(id);
     return sum;
   };
-  std::vector<std::pair<Span, std::string>> again;
+  std::vector<std::pair<Duration, std::string>> again;
   const auto send = [&](const std::string& id) {
     Part& part = book.at(id);
     // Any server that is up, as the module would choose.
@@ -401,7 +401,7 @@
         part.done = true;
       } else if (part.sends < 6 && (never || !part.once)) {
         out.resent += 1;
-        again.push_back({rig.loop.now() + Span(10'000), id});
+        again.push_back({rig.loop.now() + Duration(10'000), id});
       } else {
         out.failed += 1;
         part.done = true;
@@ -442,14 +442,14 @@
       rig.list(name, now, one.up ? Standing::up : Standing::draining);
     }
   };
-  Span next = rig.loop.now(), next_chaos = rig.loop.now();
+  Duration next = rig.loop.now(), next_chaos = rig.loop.now();
   long made = 0;
-  const Span calm = 1s, most_calm = 15s;
+  const Duration calm = 1s, most_calm = 15s;
   long open = 0;
-  Span looked{};
-  std::optional<Span> ends;
+  Duration looked{};
+  std::optional<Duration> ends;
   for (;;) {
-    const Span now = rig.loop.now();
+    const Duration now = rig.loop.now();
     next = std::max(next, now - 10 * between);  // a machine that stood still is not flooded afterwards
     for (; made < parts && next <= now; next += between, ++made) {
       char digits[17];
@@ -461,7 +461,7 @@
     }
     if (made < parts && next_chaos <= now) {
       chaos();
-      next_chaos = now + Span(static_cast<std::int64_t>(2'000 + draw(20'000)));
+      next_chaos = now + Duration(static_cast<std::int64_t>(2'000 + draw(20'000)));
     }
     for (std::size_t i = 0; i < again.size();) {
       if (again[i].first > now) {
@@ -473,7 +473,7 @@
       send(id);
     }
     out.most_sockets = std::max(out.most_sockets, rig.servers.sockets());
-    rig.turn(made < parts ? std::max(Span(100), next - now) : Span(5ms));
+    rig.turn(made < parts ? std::max(Duration(100), next - now) : Duration(5ms));
     heard();
     if (made < parts) continue;
     if (!ends) ends = rig.loop.now() + most_calm;
--- a/tests/address_traces.cpp
+++ b/tests/address_traces.cpp
@@ -18,7 +18,7 @@
 const Address kLocal = at("unix:@a"), kSix = at("[fd00::1]:90"), kFour = at("10.0.0.1:90");
 const std::vector<Address> kAll{kFour, kSix, kLocal};
 
-void say(Span now, const std::string& what) {
+void say(Duration now, const std::string& what) {
   std::printf("%5lld ms  %s\n", static_cast<long long>(now / 1ms), what.c_str());
 }
 
@@ -26,18 +26,18 @@
 struct Race {
   struct Act {
     Address to;
-    Span after;
+    Duration after;
     End end;
   };
 
-  Race(Book& its_book, const std::string& its_server, Span its_now)
+  Race(Book& its_book, const std::string& its_server, Duration its_now)
       : book(its_book), server(its_server), now(its_now), id(book.begin(server, now)) {}
   ~Race() { book.over(id); }
 
   // Lets the race run to its end; gives whether it was won.
   bool run(std::vector<Act> acts) {
     struct Out {
-      Span when;
+      Duration when;
       int attempt;
       End end;
     };
@@ -76,7 +76,7 @@
 
   Book& book;
   std::string server;
-  Span now;
+  Duration now;
   Book::RaceId id;
 };
 
@@ -88,7 +88,7 @@
   return book;
 }
 
-void state(const Book& book, Span now) { say(now, "A: " + book.describe("A", now)); }
+void state(const Book& book, Duration now) { say(now, "A: " + book.describe("A", now)); }
 
 // Preferred family first, in the list's order within one; the first to come up wins.
 void preference() {
@@ -110,13 +110,13 @@
   state(*book, 102ms);
   Race(*book, "A", 200ms).run({{kSix, 2ms, End::came_up}});
   say(200ms, "trial wanted: " + std::to_string(book->next_trial(200ms).has_value()));
-  const Span due = *book->next_trial_at();
+  const Duration due = *book->next_trial_at();
   say(due, "a trial is due");
   const Trial first = *book->next_trial(due);
   say(due, "trial of " + first.to.text() + ", within " + std::to_string(first.limit / 1ms) + " ms");
   book->trial_ended(first, End::hung, first.limit, due + first.limit);
   state(*book, due + first.limit);
-  const Span again = *book->next_trial_at();
+  const Duration again = *book->next_trial_at();
   const Trial second = *book->next_trial(again);
   book->trial_ended(second, End::came_up, 1ms, again + 1ms);
   state(*book, again + 1ms);
@@ -165,7 +165,7 @@
   Rules rules;
   rules.hold_most = 8s;
   const auto book = book_of(rules);
-  Span now{};
+  Duration now{};
   for (int i = 0; i < 6; ++i) {
     book->spoke("A", kLocal);
     book->failed("A", kLocal, End::reset_early, now);
@@ -193,7 +193,7 @@
 // is nobody's, unless it is all a server has.
 void moves() {
   const auto book = book_of();
-  const auto both = [&](Span now) {
+  const auto both = [&](Duration now) {
     say(now, "A: " + book->describe("A", now));
     say(now, "B: " + book->describe("B", now));
   };
@@ -257,7 +257,7 @@
   book->listed("A", false, kAll);
   say(2s, std::string("trial while it drains: ") + (book->next_trial(2s) ? "yes" : "no"));
   book->listed("A", true, kAll);
-  const Span due = *book->next_trial_at();
+  const Duration due = *book->next_trial_at();
   const Trial trial = *book->next_trial(due);
   say(due, "trial of " + trial.to.text());
   book->listed("A", true, {kSix, kFour});
@@ -284,15 +284,15 @@
     for (int i = 0; i < 6; ++i) pool.push_back(at("10.0.1." + std::to_string(i + 1) + ":90"));
     struct Open {
       Book::RaceId id;
-      Span begun;
+      Duration begun;
       std::map<int, Address> out;
     };
     std::vector<Open> open;
     std::vector<Trial> on_trial;
     const std::vector<std::string> names{"A", "B", "C"};
-    Span now{};
+    Duration now{};
     for (int i = 0; i < 3000; ++i, ++steps) {
-      now += Span(static_cast<std::int64_t>(draw(60'000)));
+      now += Duration(static_cast<std::int64_t>(draw(60'000)));
       const std::string& name = names[draw(3)];
       const std::uint32_t act = draw(100);
       if (act < 8) {
--- a/tests/bench_free.h
+++ b/tests/bench_free.h
@@ -52,7 +52,8 @@
  public:
   explicit Gatherer(const Terms& terms) : choice_(terms, 7) { choice_.clock(0ms); }
 
-  void list(const std::string& servers, Standing standing = Standing::up, std::optional<Span> started = {}) {
+  void list(const std::string& servers, Standing standing = Standing::up,
+            std::optional<Duration> started = {}) {
     choice_.list_opens(false, false);
     for (const char server : servers) {
       ListRow row;
@@ -66,7 +67,7 @@
 
   // A multiget with one part for each letter of `parts`, named after both; shards count up from `shard`.
   void take(const std::string& name, const std::string& parts, double hint_ms = 100, int op_type = 0,
-            int shard = 0, Span patience = 4s) {
+            int shard = 0, Duration patience = 4s) {
     const double number = ++number_;
     choice_.multiget_taken({rid(name), number, op_type, 0, static_cast<int>(parts.size()), now_ + patience});
     more_parts(name, number, parts, hint_ms, shard);
@@ -75,19 +76,19 @@
   void more_parts(const std::string& name, double number, const std::string& parts, double hint_ms,
                   int shard) {
     for (const char part : parts) {
-      const Span hint(static_cast<std::int64_t>(hint_ms * 1000));
+      const Duration hint(static_cast<std::int64_t>(hint_ms * 1000));
       choice_.part_taken(
           {rid(name + part), number, shard++, 1.0 / static_cast<double>(parts.size()), 0, hint});
       hint_ms *= hints_fall_by;
     }
   }
 
-  void ended(const std::string& part, Fate fate, int send = 0, Span elapsed = 100ms) {
+  void ended(const std::string& part, Fate fate, int send = 0, Duration elapsed = 100ms) {
     choice_.send_ended(rid(part), send, fate, elapsed, {});
   }
 
   // A probe's end; held is what the report says the server holds.
-  void asked(const std::string& server, Fate fate, double held = 0, Span elapsed = 2ms) {
+  void asked(const std::string& server, Fate fate, double held = 0, Duration elapsed = 2ms) {
     choice_.probe_ended(server, fate, elapsed, {{held, 0, 0, 0}, 1});
   }
 
@@ -119,13 +120,13 @@
     return to;
   }
 
-  void at(Span now) {
+  void at(Duration now) {
     now_ = now;
     choice_.clock(now);
   }
 
   // Lets time pass in the steps of a quiet host, printing what is decided on the way.
-  void until(Span end) {
+  void until(Duration end) {
     while (now_ < end) {
       at(std::min(end, now_ + 10ms));
       decide();
@@ -146,7 +147,7 @@
 
  private:
   Choice choice_;
-  Span now_{};
+  Duration now_{};
   double number_ = 0;
 };
 
--- a/tests/choice_traces.cpp
+++ b/tests/choice_traces.cpp
@@ -99,7 +99,7 @@
     g.ended("ma", fate);
     g.decide();
   }
-  for (const Span late : {990ms, 1010ms}) {
+  for (const Duration late : {990ms, 1010ms}) {
     Gatherer g(terms);
     g.say("-- deduped, error after " + std::to_string(late / 1ms) + " ms");
     g.list("A");
@@ -399,7 +399,7 @@
     choice.list_closes();
     for (std::size_t window = 0; window < sent.size(); ++window) {
       const std::string name(1, static_cast<char>('m' + window));
-      const Span now = static_cast<std::int64_t>(window) * 1001ms;
+      const Duration now = static_cast<std::int64_t>(window) * 1001ms;
       choice.clock(now);
       choice.multiget_taken({rid(name), static_cast<double>(window + 1), 0, 0, 1, now + 4s});
       choice.part_taken({rid(name + "a"), static_cast<double>(window + 1), 0, 1.0, 0, 100ms});
@@ -421,7 +421,7 @@
   terms["categories.0.effect"] = std::string("by_key");
   terms["categories.0.key-ttl"] = 2e6;
   terms["limits.connect-timeout"] = 250e3;  // a send may wait so long for its connection
-  for (const Span end : {1500ms, 1800ms}) {
+  for (const Duration end : {1500ms, 1800ms}) {
     Gatherer g(terms);
     g.list("AB");
     g.take("m", "a");
@@ -520,7 +520,7 @@
     g.list("AB");
     int back[2] = {0, 0};
     for (int i = 0; i < 160; ++i) {
-      const Span start = i * 2s;
+      const Duration start = i * 2s;
       g.at(start);
       const std::string name =
           std::string("m") + static_cast<char>('a' + i / 20) + static_cast<char>('a' + i % 20);
--- a/tests/client_room_traces.cpp
+++ b/tests/client_room_traces.cpp
@@ -105,7 +105,7 @@
 
 // In this turn, after what has come in was read and before any of the gatherer's own timers.
 void before_timers(Scene& scene, const std::function<void()>& what) {
-  scene.gatherer.loop().at(Span::min() / 2, what);
+  scene.gatherer.loop().at(Duration::min() / 2, what);
 }
 
 // Every place holds a request in hand when a planned stop ends its accepting, and others connect in that very
@@ -151,7 +151,7 @@
       if (half) client.wire.put("POST /api HTT");
     }
     connect_and_ask(honest, 5, "m");
-    const Span came = clock.steady();
+    const Duration came = clock.steady();
     scene.until("the last of them", [&] {
       answer_all(leaf);
       return count(honest).waiting == 0;
@@ -242,7 +242,7 @@
   Scene& scene = *program;
   scene.hosts = {&leaf};
   scene.pass(10ms);
-  const Span told = clock.steady();
+  const Duration told = clock.steady();
   scene.gatherer.begin_stop();
   scene.pass(300ms);
   Client two_steps, slow;
--- a/tests/cold_traces.cpp
+++ b/tests/cold_traces.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr Span kWindow = 1500ms, kCold = 12s, kStart = 20s, kEnd = 50s;
+constexpr Duration kWindow = 1500ms, kCold = 12s, kStart = 20s, kEnd = 50s;
 constexpr double kColdFrom = 0.25, kMultiple = 2, kWork = 100'000;
 constexpr int kCells = 4, kOfCell = 4, kShards = 16, kCores = 2;
 
@@ -33,7 +33,7 @@
 
 // An answer, or a send that one gatherer is told the end of.
 struct Later {
-  Span at{};
+  Duration at{};
   int gatherer = 0;
   Rid part;
   int send = 0;
@@ -54,7 +54,7 @@
   std::vector<Choice> fleet;
   for (int g = 0; g < gatherers; ++g) fleet.emplace_back(terms, static_cast<std::uint32_t>(g + 1));
   const auto name_of = [](int server) { return "s" + std::to_string(server); };
-  const auto list = [&](Span now) {
+  const auto list = [&](Duration now) {
     for (Choice& one : fleet) {
       one.list_opens(true, false);
       for (int s = 0; s < kCells * kOfCell; ++s) {
@@ -74,10 +74,10 @@
   std::vector<double> weights(static_cast<std::size_t>(gatherers), 1.0);
   for (int g = 0; g < gatherers && traffic.uneven; g += 5) weights[static_cast<std::size_t>(g)] = 6;
   std::discrete_distribution<int> whose(weights.begin(), weights.end());
-  std::vector<std::array<Span, kCores>> busy_until(static_cast<std::size_t>(kCells * kOfCell));
+  std::vector<std::array<Duration, kCores>> busy_until(static_cast<std::size_t>(kCells * kOfCell));
   std::priority_queue<Later, std::vector<Later>, std::greater<>> later;
-  std::vector<std::vector<Span>> cold_sends(static_cast<std::size_t>(kCells * kOfCell));
-  Span next{}, now{};
+  std::vector<std::vector<Duration>> cold_sends(static_cast<std::size_t>(kCells * kOfCell));
+  Duration next{}, now{};
   int number = 0;
   std::uniform_real_distribution<double> even(0, 1);
   long windows = 0, over_chance = 0;
@@ -92,7 +92,7 @@
       const bool cold = server % kOfCell < 2 && now >= kStart && now < kStart + kCold;
       const double warm = cold ? kColdFrom + (1 - kColdFrom) * seconds(now - kStart) / seconds(kCold) : 1;
       auto& cores = busy_until[static_cast<std::size_t>(server)];
-      Span& core = *std::min_element(cores.begin(), cores.end());
+      Duration& core = *std::min_element(cores.begin(), cores.end());
       core = std::max(core, now) + span(kWork * (0.8 + 0.4 * even(chance)) / warm);
       later.push({core, g, s->part, 0});
       if (!cold) continue;
@@ -102,7 +102,7 @@
       const double age = std::max(seconds(now - kWindow - kStart), 0.0) / seconds(kCold);
       const double room = kMultiple * (kColdFrom + (1 - kColdFrom) * age) * micros(kWindow) * kCores / kWork;
       double sum = 0;
-      for (const Span sent : at) sum += now - sent <= kWindow ? 1 : 0;
+      for (const Duration sent : at) sum += now - sent <= kWindow ? 1 : 0;
       ++windows;
       if (sum > room + 2 * std::sqrt(room) + 2) ++over_chance;
       if (sum - room > most - room_then) most = sum, room_then = room;
--- a/tests/control_fleet.h
+++ b/tests/control_fleet.h
@@ -38,7 +38,7 @@
   std::printf("%-88s %s\n", what.c_str(), is ? "yes" : "NO");
 }
 
-inline void figure(const std::string& what, Span value) {
+inline void figure(const std::string& what, Duration value) {
   if (std::getenv("MARBLEDYKE_RIG_FIGURES") == nullptr) return;
   std::fprintf(stderr, "%-60s %.3f s\n", what.c_str(), static_cast<double>(value.count()) / 1e6);
 }
@@ -170,7 +170,7 @@
     const json said = status(i);
     return said.is_object() ? said.value("newest", std::int64_t{-1}) : -1;
   }
-  rig::Answer post(std::size_t i, const std::string& what, const json& body, Span limit = 3s) {
+  rig::Answer post(std::size_t i, const std::string& what, const json& body, Duration limit = 3s) {
     return rig::call(loop, node(i), "POST", "/v1/configuration/" + what, body.dump(), limit);
   }
   rig::Answer learn(std::size_t i, std::int64_t index) {
@@ -193,8 +193,8 @@
     }
     return true;
   }
-  void in_force(const std::string& what, std::int64_t index, Span limit) {
-    const Span from = loop.now();
+  void in_force(const std::string& what, std::int64_t index, Duration limit) {
+    const Duration from = loop.now();
     const bool held = rig::run_until(loop, limit, [&] { return all_hold(index); });
     figure(what, loop.now() - from);
     say(what + ": in force at all within " + std::to_string(limit / 1s) + " s", held);
--- a/tests/control_rig.cpp
+++ b/tests/control_rig.cpp
@@ -159,7 +159,7 @@
   fleet.learn_all(1);
   fleet.in_force("the first revision", 1, 2s);
   const auto raw = [&](const char* what, const std::string& bytes) {
-    const Span from = fleet.loop.now();
+    const Duration from = fleet.loop.now();
     const std::string answer = rig::raw_call(fleet.loop, fleet.node(0), bytes, 4s);
     std::printf("%-34s %s%s\n", what, answer.size() > 12 ? answer.substr(9, 3).c_str() : "none",
                 fleet.loop.now() - from < 4s ? "" : ", TOO LATE");
--- a/tests/crossing_traces.cpp
+++ b/tests/crossing_traces.cpp
@@ -19,7 +19,7 @@
 
 // In this turn, after what has come in was read and before any of the gatherer's own timers.
 void before_timers(Scene& scene, const std::function<void()>& what) {
-  scene.gatherer.loop().at(Span::min() / 2, what);
+  scene.gatherer.loop().at(Duration::min() / 2, what);
 }
 
 // A client sends much at once and goes, by a reset that comes after the first answer was written and before
@@ -36,7 +36,7 @@
   scene.answered(other, "another client");
 }
 
-std::string since(const SteppedTime& clock, Span from) {
+std::string since(const SteppedTime& clock, Duration from) {
   return std::to_string((clock.steady() - from) / 10ms * 10) + " ms";
 }
 
@@ -46,7 +46,7 @@
 }
 
 // Discovery's next call, and when it came.
-void asked(Scene& scene, Discovery& discovery, Span from) {
+void asked(Scene& scene, Discovery& discovery, Duration from) {
   scene.until("a call", [&] { return !discovery.asked.empty(); });
   say("after " + since(*scene.stepped, from) + " discovery is asked " + discovery.asked.front());
   discovery.asked.pop_front();
@@ -73,7 +73,7 @@
   SteppedTime clock;
   Scene scene(entry("A", 11), clock);
   scene.hosts = {&a, &b, &discovery};
-  const Span start = clock.steady();
+  const Duration start = clock.steady();
   asked(scene, discovery, start);
   discovery.answer(list_of(5, entry("A", 11)));
   asked(scene, discovery, start);
@@ -108,7 +108,7 @@
   Scene scene(entry("A", 11), clock);
   scene.hosts = {&a, &b, &discovery};
   const std::string unstated = "HTTP/1.1 200 OK\r\n\r\n";
-  const Span start = clock.steady();
+  const Duration start = clock.steady();
   asked(scene, discovery, start);
   discovery.last->put(unstated + list_of(5, entry("B", 12)));
   discovery.last->reset();
@@ -131,7 +131,7 @@
     Client client;
     client.send("m", "draft", kOne);
     auto got = scene.next(leaf, "leaf");
-    const Span told = clock.steady();
+    const Duration told = clock.steady();
     scene.gatherer.begin_stop();
     scene.pass(3200ms);
     leaf.answer(got.wire, "m.1", "S 1 -", "v");
@@ -154,11 +154,11 @@
   scene.pass(20s);
   Discovery discovery(2);
   scene.hosts.push_back(&discovery);
-  const Span back = clock.steady();
+  const Duration back = clock.steady();
   scene.until("a call", [&] { return !discovery.asked.empty(); });
   say(clock.steady() - back <= 3250ms ? "asked within 3.25 s of its return" : "ASKED LATE");
   discovery.asked.clear();
-  const Span hangs = clock.steady();
+  const Duration hangs = clock.steady();
   asked(scene, discovery, hangs);
   scene.pass(2400ms);
   discovery.answer(list_of(5, entry("B", 12)));
@@ -174,7 +174,7 @@
   SteppedTime clock;
   Scene scene(entry("A", 11), clock, {{R"("registry-mode":"ask",)", ""}});
   scene.hosts = {&a, &b, &discovery};
-  const Span start = clock.steady();
+  const Duration start = clock.steady();
   asked(scene, discovery, start);
   discovery.answer(list_of(5, entry("A", 11)));
   asked(scene, discovery, start);
@@ -272,8 +272,8 @@
     asked(scene, discovery, clock.steady());
     discovery.answer(list_of(5, all));
     asked(scene, discovery, clock.steady());
-    const Span silent = clock.steady();
-    Span last{};
+    const Duration silent = clock.steady();
+    Duration last{};
     int sent = 0, to_it = 0;
     Client client;
     while (clock.steady() < silent + 16s) {
@@ -366,7 +366,7 @@
     scene.next(leaf, "leaf");
     client.wire.put(std::string(150'000, 'x'));
     scene.pass(10ms);
-    const Span gone = clock.steady();
+    const Duration gone = clock.steady();
     if (*how == 'c') {
       client.wire.fd.close();
     } else {
@@ -444,7 +444,7 @@
       loop.gather();
     }
   };
-  const Span begun = loop.now();
+  const Duration begun = loop.now();
   until([&] { return loop.now() > begun + 300ms; });
   full.empty();
   until([&] { return full.heard().find("other.1") != std::string::npos; });
@@ -522,7 +522,7 @@
   scene.hosts = {&leaf};
   Client client;
   scene.pass(10ms);
-  const Span told = clock.steady();
+  const Duration told = clock.steady();
   scene.gatherer.begin_stop();
   scene.pass(300ms);
   client.send("m", "issue", kOne);
@@ -616,7 +616,7 @@
   client.wire.put("GET /healthz HTTP/1.1\r\n\r\n");
   scene.pass(20ms);
   say(client.answered() ? "ANSWERED ALREADY" : "waits");
-  const Span room = clock.steady();
+  const Duration room = clock.steady();
   scene.answered(client, "client");
   say(clock.steady() - room < 200ms ? "within 0.2 s" : "LATE");
   ballast.clear();
@@ -672,13 +672,13 @@
       if (at != std::string::npos) say(line.substr(at, line.find(',', at) - at));
     }
   });
-  const auto takes = [&](Span time) {
+  const auto takes = [&](Duration time) {
     before_timers(scene, [&clock, time] {
-      for (Span passed{}; passed < time; passed += 1ms) clock.pass();
+      for (Duration passed{}; passed < time; passed += 1ms) clock.pass();
     });
     scene.pass(100ms);
   };
-  for (const Span time : {15ms, 25ms}) {
+  for (const Duration time : {15ms, 25ms}) {
     say("a turn of " + std::to_string(time / 1ms) + " ms, and one for the stand-ins");
     takes(time);
     scene.gatherer.log_totals();
--- a/tests/delivery_traces.cpp
+++ b/tests/delivery_traces.cpp
@@ -19,11 +19,11 @@
 
 void say(const std::string& what, bool is) { std::printf("%-96s %s\n", what.c_str(), is ? "yes" : "NO"); }
 
-std::string seconds(const std::optional<Span>& span) {
+std::string seconds(const std::optional<Duration>& span) {
   return span ? std::to_string(span->count() / 1000) + " ms" : "never";
 }
 
-void in_force(const char* what, DistributionWorld& world, std::int64_t index, Span limit) {
+void in_force(const char* what, DistributionWorld& world, std::int64_t index, Duration limit) {
   const auto took = world.run_until(limit, [&] { return world.all_hold(index); });
   say(std::string(what) + ": within " + std::to_string(limit / 1ms) + " ms", took.has_value());
   if (std::getenv("MARBLEDYKE_RIG_FIGURES") != nullptr)
@@ -122,7 +122,7 @@
   told_all(world, 1);
   in_force("in force at 910", world, 1, 200ms);
   world.run_for(30s);  // their calls were begun at one moment; by now they are spread
-  Span since = world.now();
+  Duration since = world.now();
   world.run_for(10s);
   at_most("nothing happens, calls in any 100 ms", world.most_calls_in_100_ms(since), 80);
   since = world.now();
@@ -150,14 +150,14 @@
   sound(world);
 }
 
-void random_life(std::uint32_t seed, Span& worst, int& alike, std::uint64_t& older,
+void random_life(std::uint32_t seed, Duration& worst, int& alike, std::uint64_t& older,
                  std::uint64_t& impossible) {
   DistributionWorld world({6, 2, 24, true, seed});
   std::mt19937 chance(seed);
   std::int64_t index = 0;
   const auto pick = [&](std::size_t count) { return static_cast<std::size_t>(chance() % count); };
   for (int step = 0; step < 150; ++step) {
-    world.run_for(Span(static_cast<std::int64_t>(chance() % 800'000)));
+    world.run_for(Duration(static_cast<std::int64_t>(chance() % 800'000)));
     switch (pick(9)) {
       case 0:
         world.kill(pick(6));
@@ -197,14 +197,14 @@
   world.learn(pick(6), emulated_revision(++index));
   const auto took = world.run_until(8s, [&] { return world.all_hold(index); });
   alike += took ? 1 : 0;
-  worst = std::max(worst, took.value_or(Span::max()));
+  worst = std::max(worst, took.value_or(Duration::max()));
   older += world.older();
   impossible += world.impossible();
 }
 
 void random_lives() {
   constexpr int kLives = 80;
-  Span worst{};
+  Duration worst{};
   int alike = 0;
   std::uint64_t older = 0, impossible = 0;
   for (std::uint32_t seed = 1; seed <= kLives; ++seed) random_life(seed, worst, alike, older, impossible);
--- a/tests/distribution_traces.cpp
+++ b/tests/distribution_traces.cpp
@@ -20,7 +20,7 @@
 
 // ---- a node's side ----
 
-WatchCall call_of(const std::string& receiver, std::int64_t index, Span wait = 3s) {
+WatchCall call_of(const std::string& receiver, std::int64_t index, Duration wait = 3s) {
   WatchCall out;
   out.receiver = receiver;
   out.zone = "z1";
@@ -41,7 +41,7 @@
 
 void publisher() {
   Publisher node;
-  const auto at = [&](Span when, const char* what) {
+  const auto at = [&](Duration when, const char* what) {
     node.tick(when);
     std::printf("%6lld ms %-58s%s\n", static_cast<long long>(when / 1ms), what, answers(node).c_str());
   };
@@ -102,11 +102,13 @@
       refused.receivers_by_index == std::map<std::int64_t, std::size_t>{{1, 1}, {2, 2}});
   node.tick(100s + 300ms);
   node.called(4, call_of("c", 2));
-  say("once all run it: since 300 ms after it was learned", node.summary().everywhere_after == Span(300ms));
+  say("once all run it: since 300 ms after it was learned",
+      node.summary().everywhere_after == Duration(300ms));
   node.chosen(emulated_revision(3));
   node.tick(109s);
   node.called(5, call_of("a", 3));
-  say("one that is not heard of for 8 s is not waited for", node.summary().everywhere_after == Span(8700ms));
+  say("one that is not heard of for 8 s is not waited for",
+      node.summary().everywhere_after == Duration(8700ms));
   node.tick(161s);
   say("and forgotten after a minute", node.receivers().size() == 1);
   bool all = true;
@@ -122,7 +124,7 @@
   node.tick(100s);
   const int count = 1000;
   std::map<std::string, std::int64_t> held;
-  const auto give = [&](Span when) {
+  const auto give = [&](Duration when) {
     node.tick(when);
     std::map<std::uint64_t, std::string> callers;
     std::uint64_t caller = 1;
@@ -236,7 +238,7 @@
   }
   Receiver receiver;
   ReceiverAct::Call last;
-  Span rested{};
+  Duration rested{};
   // Until a call is out; what is to be applied is applied.
   void until_call() {
     while (const auto act = receiver.next()) {
@@ -333,7 +335,7 @@
   hand.answer(8);
   say("then another one is called", hand.receiver.node() != node && hand.held() == 9);
   std::map<std::size_t, int> tried;
-  std::map<int, Span> longest;
+  std::map<int, Duration> longest;
   Hand failing(6, 7);
   for (int i = 0; i < 60; ++i) {
     failing.until_call();
@@ -352,7 +354,7 @@
   away.answer(0);
   const std::size_t home = away.receiver.node();
   away.receiver.failed("reset");
-  Span waited{};
+  Duration waited{};
   for (int i = 0; i < 100 && away.receiver.node() != home; ++i) {
     away.answer(0);
     waited += away.last.call.wait + away.rested;
@@ -362,7 +364,7 @@
   away.receiver.silent();
   away.until_call();
   say("still silent: it goes back to where it came from", away.receiver.node() != home);
-  waited = Span::zero();
+  waited = Duration::zero();
   for (int i = 0; i < 200 && away.receiver.node() != home; ++i) {
     away.answer(0);
     waited += away.last.call.wait + away.rested;
--- a/tests/emulator_traces.cpp
+++ b/tests/emulator_traces.cpp
@@ -222,7 +222,7 @@
     return event.what == what && ++seen == which;
   };
   bent("one final answer never comes", 1, [&](checker::Event& e) {
-    if (nth(e, What::answered, 50)) e.at = Span(-1);
+    if (nth(e, What::answered, 50)) e.at = Duration(-1);
   });
   seen = 0;
   std::uint64_t other = 0;
--- a/tests/keeper_rig.cpp
+++ b/tests/keeper_rig.cpp
@@ -49,8 +49,8 @@
   return out;
 }
 
-double seconds_of(net::Loop& loop, const std::function<bool()>& holds, Span limit) {
-  const Span from = loop.now();
+double seconds_of(net::Loop& loop, const std::function<bool()>& holds, Duration limit) {
+  const Duration from = loop.now();
   const bool held = rig::run_until(loop, limit, holds);
   return held ? static_cast<double>((loop.now() - from).count()) / 1e6 : -1;
 }
@@ -420,8 +420,8 @@
   const auto status_of = [](const std::string& answer) {
     return answer.size() > 12 ? answer.substr(9, 3) : std::string("none");
   };
-  const auto raw = [&](const char* what, const std::string& bytes, Span limit = 4s) {
-    const Span from = loop.now();
+  const auto raw = [&](const char* what, const std::string& bytes, Duration limit = 4s) {
+    const Duration from = loop.now();
     const std::string answer = rig::raw_call(loop, m.control, bytes, limit);
     std::printf("%-34s %s%s\n", what, status_of(answer).c_str(),
                 loop.now() - from < limit ? "" : ", TOO LATE");
--- a/tests/keeper_traces.cpp
+++ b/tests/keeper_traces.cpp
@@ -24,7 +24,7 @@
 
 namespace {
 
-Order order(Kind kind, std::uint64_t number, const std::string& version = {}, Span trial = {},
+Order order(Kind kind, std::uint64_t number, const std::string& version = {}, Duration trial = {},
             std::uint64_t epoch = 1) {
   Order out;
   out.epoch = epoch;
@@ -41,7 +41,7 @@
   kept.former = "v0";
   kept.outcome = Outcome::done;
   kept.order = order(Kind::use, 5, "v1", {}, 3);
-  const Span wall = 1000s;
+  const Duration wall = 1000s;
   const auto say = [&](const char* what, const Order& o, const Kept& k, bool has = true) {
     std::printf("%-44s %s\n", what, keeper::name_of(keeper::judge(o, k, wall, has)));
   };
@@ -166,7 +166,7 @@
   totals::Window whole;
   std::vector<totals::Window> parts(7);
   for (int i = 0; i < 20'000; ++i) {
-    const Span took(
+    const Duration took(
         static_cast<std::int64_t>(std::exp(4 + 10 * std::generate_canonical<double, 53>(chance))));
     const std::string op = chance() % 3 == 0 ? "issue" : "look";
     for (totals::Window* window : {&whole, &parts[chance() % 7]}) {
@@ -256,12 +256,12 @@
       if (!quiet) std::printf("%7.2f  %s\n", static_cast<double>(keeper_.now().count()) / 1e6, what.c_str());
     };
   }
-  void give(Kind kind, const std::string& version = {}, Span trial = {}) {
+  void give(Kind kind, const std::string& version = {}, Duration trial = {}) {
     const auto verdict = keeper_.order(order(kind, ++number_, version, trial));
     std::printf("%7.2f  ORDER %s %s: %s\n", static_cast<double>(keeper_.now().count()) / 1e6,
                 keeper::name_of(kind), version.c_str(), verdict ? keeper::name_of(*verdict) : "no answer");
   }
-  void until(Span when) {
+  void until(Duration when) {
     while (keeper_.now() < when) keeper_.step();
   }
   void end() {
@@ -445,7 +445,7 @@
       p.until(5s);
       k.kill_at_act(at);
       k.order(order(Kind::use, 2, target));
-      for (Span t = 5s; t < 60s; t += 1s) {
+      for (Duration t = 5s; t < 60s; t += 1s) {
         p.until(t);
         if (!k.keeper_alive()) {
           acts = at + 1;
@@ -486,7 +486,7 @@
           const Kind kinds[] = {Kind::use, Kind::use, Kind::use, Kind::run, Kind::stop, Kind::confirm};
           if (chance() % 10 == 0) ++epoch;
           const auto verdict = k.order(order(kinds[chance() % 6], ++number, names[chance() % names.size()],
-                                             chance() % 2 == 0 ? Span{} : Span(10s), epoch));
+                                             chance() % 2 == 0 ? Duration{} : Duration(10s), epoch));
           orders_given += verdict == keeper::Verdict::taken ? 1 : 0;
           break;
         }
--- a/tests/rollout_rig.cpp
+++ b/tests/rollout_rig.cpp
@@ -98,8 +98,10 @@
     const json now = state();
     return now.is_object() ? now["kept"].value("state", "") : "";
   }
-  bool until(Span limit, const std::function<bool()>& holds) { return rig::run_until(loop_, limit, holds); }
-  int exit_status(Span limit) {
+  bool until(Duration limit, const std::function<bool()>& holds) {
+    return rig::run_until(loop_, limit, holds);
+  }
+  int exit_status(Duration limit) {
     until(limit, [&] { return conductor_.ended().has_value(); });
     return conductor_.ended() && WIFEXITED(*conductor_.ended()) ? WEXITSTATUS(*conductor_.ended()) : -1;
   }
@@ -139,7 +141,7 @@
     for (const auto& one : clients_) out += one->tally().due - one->tally().answered;
     return out;
   }
-  Span now() { return loop_.now(); }
+  Duration now() { return loop_.now(); }
   int uses() {
     int out = 0;
     std::ifstream history(path("rollout/history"));
@@ -258,7 +260,7 @@
   Setting setting;
   setting.seconds = 100;
   Scene scene(flaw, setting);
-  const Span from = scene.now();
+  const Duration from = scene.now();
   scene.conduct();
   scene.exit_status(110s);
   const double took = static_cast<double>((scene.now() - from).count()) / 1e6;
--- a/tests/rollout_traces.cpp
+++ b/tests/rollout_traces.cpp
@@ -157,7 +157,7 @@
   struct One {
     std::string version = "old", outcome = "done";
     std::string to;
-    Span at = Span::max();
+    Duration at = Duration::max();
     bool reachable = true, fails = false, fails_back = false, has = true;
     std::uint64_t epoch = 0, number = 0, uses = 0;
   };
@@ -167,7 +167,7 @@
   std::unique_ptr<Conductor> conductor;
   rollout::Kept kept;
   std::uint64_t epoch = 0;
-  Span now{};
+  Duration now{};
   std::function<Finding(const Conductor&)> judge;
   std::function<void(const std::string&)> told;
   std::string broken;
@@ -193,7 +193,7 @@
     now += 1s;
     for (auto& [name, one] : keepers) {
       if (now < one.at) continue;
-      one.at = Span::max();
+      one.at = Duration::max();
       const bool bad = one.to == "new" ? one.fails : one.fails_back;
       if (bad) {
         one.outcome = one.to == "new" ? "back" : "held";
@@ -266,7 +266,7 @@
     for (const auto& [name, one] : keepers) under_way += one.outcome == "under_way" && one.reachable ? 1 : 0;
     if (under_way > plan.at_a_time) broken = "more at a time than the plan says";
   }
-  void run(Span until) {
+  void run(Duration until) {
     while (now < until && conductor != nullptr && !conductor->over()) step();
   }
   std::string end() const {
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -174,13 +174,13 @@
 // Time that passes a millisecond a turn, whatever the machine does meanwhile.
 class SteppedTime final : public TimeSource {
  public:
-  Span steady() const override { return now_; }
-  Span wall() const override { return 1'700'000'000s + now_; }
-  Span machine_time(Span) const override { return 0s; }
+  Duration steady() const override { return now_; }
+  Duration wall() const override { return 1'700'000'000s + now_; }
+  Duration machine_time(Duration) const override { return 0s; }
   void pass() { now_ += 1ms; }
 
  private:
-  Span now_ = 1h;
+  Duration now_ = 1h;
 };
 
 using Changes = std::vector<std::pair<std::string, std::string>>;  // of a configuration's text
@@ -255,8 +255,8 @@
     if (stepped != nullptr) stepped->pass();
   }
   // In stepped time: so much of it passes.
-  void pass(Span time) {
-    for (const Span end = stepped->steady() + time; stepped->steady() < end;) {
+  void pass(Duration time) {
+    for (const Duration end = stepped->steady() + time; stepped->steady() < end;) {
       for (Host* host : hosts) host->hear();
       turn();
     }
--- a/tests/search_rig.cpp
+++ b/tests/search_rig.cpp
@@ -193,9 +193,9 @@
       leaf.set(0, door);
       if (door == standins::Door::refuses) leaf.cut_all();
       // What is answered before the reset would be no loss.
-      leaf.slow(manner == Manner::silent         ? Span(3600s)
-                : manner == Manner::breaks_after ? Span(50ms)
-                                                 : Span{});
+      leaf.slow(manner == Manner::silent         ? Duration(3600s)
+                : manner == Manner::breaks_after ? Duration(50ms)
+                                                 : Duration{});
     });
   }
   void list(int server, const char* status) {
@@ -205,13 +205,13 @@
     });
   }
 
-  Span now() const { return std::chrono::duration_cast<Span>(Clock::now() - begun_); }
+  Duration now() const { return std::chrono::duration_cast<Duration>(Clock::now() - begun_); }
   void note(Event event) {
     const std::lock_guard<std::mutex> lock(events_);
     event.at = now();
     checker_.see(event);
   }
-  std::uint64_t taken(bool issue, Span until) {
+  std::uint64_t taken(bool issue, Duration until) {
     Event event;
     event.what = What::taken;
     event.gatherer = 0;
@@ -319,7 +319,7 @@
   enum class How { whole, not_run, failed, nothing };
   How how = How::nothing;
   long hits = -1;
-  Span took{};
+  Duration took{};
 };
 
 class Wire {
@@ -347,7 +347,7 @@
     return fd_ >= 0;
   }
   // What comes within the time; `over` says that the peer has closed.
-  std::string get(Span time, bool& over) {
+  std::string get(Duration time, bool& over) {
     pollfd one{fd_, POLLIN, 0};
     over = fd_ < 0;
     if (over || poll(&one, 1, static_cast<int>(time / 1ms)) <= 0) return {};
@@ -357,12 +357,12 @@
     return {buffer, n > 0 ? static_cast<std::size_t>(n) : 0};
   }
   // Until the peer closes, at most so long; gives how long that took, or none.
-  std::optional<Span> closed_within(Span most, std::string* got = nullptr) {
+  std::optional<Duration> closed_within(Duration most, std::string* got = nullptr) {
     const auto begun = Clock::now();
     for (bool over = false; Clock::now() < begun + most;) {
       const std::string bytes = get(20ms, over);
       if (got != nullptr) *got += bytes;
-      if (over) return std::chrono::duration_cast<Span>(Clock::now() - begun);
+      if (over) return std::chrono::duration_cast<Duration>(Clock::now() - begun);
     }
     return std::nullopt;
   }
@@ -375,7 +375,7 @@
 class HttpClient {
  public:
   explicit HttpClient(const net::Address& to) : to_(to) {}
-  std::optional<net::HttpMessage> ask(const std::string& request, Span most) {
+  std::optional<net::HttpMessage> ask(const std::string& request, Duration most) {
     for (int tries = 0; tries < 2; ++tries) {
       if (!wire_ || !wire_->open()) wire_ = std::make_unique<Wire>(to_);
       if (!wire_->put(request)) {
@@ -438,14 +438,14 @@
   Client& operator=(const Client&) = delete;
 
   // A Z39.50 client has the time that the operator's file gives, the others say theirs.
-  Outcome ask(bool issue, Span time = 2s) {
+  Outcome ask(bool issue, Duration time = 2s) {
     if (front_ == Front::z3950) time = 2s;
     number = world_.taken(issue, time);
     const auto begun = Clock::now();
     Outcome out = front_ == Front::http  ? by_http(issue, time)
                   : front_ == Front::sru ? by_sru(issue, time)
                                          : by_zoom(issue);
-    out.took = std::chrono::duration_cast<Span>(Clock::now() - begun);
+    out.took = std::chrono::duration_cast<Duration>(Clock::now() - begun);
     Event event;
     event.gatherer = 0;
     event.multiget = number;
@@ -460,7 +460,7 @@
   std::uint64_t number = 0;
 
  private:
-  Outcome by_http(bool issue, Span time) {
+  Outcome by_http(bool issue, Duration time) {
     search::PartAsk ask;
     ask.database = "clauses";
     ask.cql = query_of(number, issue);
@@ -498,7 +498,7 @@
     }
     return out;
   }
-  Outcome by_sru(bool issue, Span time) {
+  Outcome by_sru(bool issue, Duration time) {
     const auto answer =
         http_.ask("GET /clauses?version=1.2&operation=searchRetrieve&maximumRecords=5&x-deadline-ms=" +
                       std::to_string(time / 1ms) + "&query=" + sru::query_escaped(query_of(number, issue)) +
@@ -545,7 +545,7 @@
 
 struct Count {
   int asked = 0, whole = 0, not_run = 0, failed = 0, nothing = 0, wrong_hits = 0, twice = 0;
-  Span longest{};
+  Duration longest{};
   void add(const Outcome& o) {
     asked += 1;
     whole += o.how == Outcome::How::whole ? 1 : 0;
@@ -722,7 +722,7 @@
     return o.how == Outcome::How::whole && o.hits == 1;
   };
   const auto closes = [](const char* what, World& world, const net::Address& to, const std::string& bytes,
-                         Span most = 3s) {
+                         Duration most = 3s) {
     Wire wire(to);
     wire.put(bytes);
     const auto took = wire.closed_within(most + 200ms);
@@ -947,7 +947,7 @@
     return made;
   }
   // The next whole message; null where none comes in time.
-  Z_APDU* next(Span most = 2s) {
+  Z_APDU* next(Duration most = 2s) {
     z3950::BerScanner scanner(1024 * 1024, 500);
     std::string whole;
     for (const auto end = Clock::now() + most; Clock::now() < end;) {
--- a/tests/search_traces.cpp
+++ b/tests/search_traces.cpp
@@ -193,7 +193,7 @@
 struct Bench {
   Bench() : its(settings()), desk(terms(), its, 7), catalogue(40, 4) { desk.clock(now); }
 
-  void pass(Span time) {
+  void pass(Duration time) {
     now += time;
     desk.clock(now);
     pull();
@@ -293,7 +293,7 @@
     pull();
   }
 
-  Span now = 1s;
+  Duration now = 1s;
   config::ServiceSettings its;
   search::Desk desk;
   standins::Catalogue catalogue;
@@ -574,7 +574,7 @@
 // ---- carriers: servers that cannot be had ----
 
 void carriers() {
-  const auto play = [](const char* what, std::vector<net::Address> addresses, Span patience,
+  const auto play = [](const char* what, std::vector<net::Address> addresses, Duration patience,
                        bool then_unreadable = false) {
     net::Loop loop;
     loop.read_clock();
@@ -605,14 +605,14 @@
       errands.push_back(std::move(errand));
     }
     carrier.call("s", std::move(errands));
-    const Span end = loop.now() + 1s;
+    const Duration end = loop.now() + 1s;
     while (carrier.ended.size() < 3 && loop.now() < end) {
       loop.at(loop.now() + 5ms, [] {});
       loop.gather();
       carrier.bury();
     }
     int never = 0, unused = 0;
-    Span longest{};
+    Duration longest{};
     for (const servers::Ended& one : carrier.ended) {
       never += one.fate == Fate::dial_failed ? 1 : 0;
       unused += one.fate == Fate::unused ? 1 : 0;
--- a/tests/settings_traces.cpp
+++ b/tests/settings_traces.cpp
@@ -22,7 +22,7 @@
 namespace {
 
 constexpr const char* kActs[] = {"write", "write_good", "hup", "applied", "refused", "watch", "note"};
-constexpr Span kStep = 50ms;
+constexpr Duration kStep = 50ms;
 
 Revision revision(std::int64_t index) {
   Revision out{index, "f", "{}", 1, "a", 0, ""};
@@ -36,11 +36,11 @@
 struct World {
   std::optional<Revision> settings, good;  // on disk
   std::int64_t newest = 0;                 // at the control nodes
-  Span now{};
+  Duration now{};
   bool wanted = true, alive = false, busy = false, deaf = false, disk_fails = false;
   std::int64_t runs = 0;     // what the gatherer read last
   std::int64_t crashes = 0;  // it ends with this revision soon after
-  Span crash_at{};
+  Duration crash_at{};
   std::function<bool(std::int64_t)> refuses = [](std::int64_t) { return false; };
   std::function<bool(std::int64_t)> ends = [](std::int64_t) { return false; };
 
@@ -50,7 +50,7 @@
   int acts = 0, dies_at = 0;
   bool told = false;  // acts are printed
   std::int64_t proven = 0;
-  Span proven_since{};
+  Duration proven_since{};
   int faults = 0;
 
   void fault(const char* what) {
@@ -154,8 +154,8 @@
       fault("the disk has an older one");
     if (holder && holder->impossible() > 0) fault("an impossible event");
   }
-  void run(Span span) {
-    for (const Span until = now + span; now < until;) step();
+  void run(Duration span) {
+    for (const Duration until = now + span; now < until;) step();
   }
   void say(const char* what) {
     std::printf("%-62s disk %lld, good %lld, gatherer %lld, receiver %lld, refused %lld, %s\n", what,
@@ -172,7 +172,7 @@
   w.ends = [](std::int64_t index) { return index == 4; };
   w.start_keeper();
   w.told = true;
-  const auto put = [&](std::int64_t index, Span span, const char* what) {
+  const auto put = [&](std::int64_t index, Duration span, const char* what) {
     w.newest = index;
     w.run(span);
     w.say(what);
@@ -230,8 +230,8 @@
     w.ends = [](std::int64_t index) { return index == 4; };
     w.dies_at = dies_at;
     w.start_keeper();
-    const auto run = [&](Span span) {
-      for (const Span until = w.now + span; w.now < until;) {
+    const auto run = [&](Duration span) {
+      for (const Duration until = w.now + span; w.now < until;) {
         w.step();
         if (w.holder) continue;
         w.run(300ms);
