--- a/src/model/measure.h
+++ b/src/model/measure.h
@@ -1,4 +1,4 @@
-// Spans as plain numbers, fading, and hashes. Nothing here decides.
+// Durations as plain numbers, fading, and hashes. Nothing here decides.
 #pragma once
 
 #include <cmath>
