--- a/src/keeper/keeper.cpp
+++ b/src/keeper/keeper.cpp
@@ -53,7 +53,7 @@
 json counts(const totals::Window& w) {
   json ops = json::object();
   for (const auto& [name, one] : w.by_op_type) ops[name] = counts(one);
-  json out = counts(w.all());
+  json out = counts(w.total());
   out["op_types"] = std::move(ops);
   return out;
 }
