--- a/tests/address_rig.cpp
+++ b/tests/address_rig.cpp
@@ -35,7 +35,7 @@
   out.max_parts_per_call = 16;
   out.max_parts_per_connection = 100;
   out.connect_timeout = 250ms;
-  out.idle = 15s;
+  out.idle_timeout = 15s;
   out.max_route_timeout = 4s;
   out.tick = 5ms;
   return out;
