--- a/tests/search_traces.cpp
+++ b/tests/search_traces.cpp
@@ -580,7 +580,7 @@
     loop.read_clock();
     config::ServiceSettings its = settings();
     its.connect_timeout = 100ms;
-    its.idle = 10s;
+    its.idle_timeout = 10s;
     carrier::Carrier carrier(loop, its, z3950::make_talk, [] { return false; });
     carrier.serve({{"s", "clauses"}});
     list::News news;
