--- a/src/events/pipe.h
+++ b/src/events/pipe.h
@@ -1,6 +1,6 @@
-// The way of a gatherer's events to its keeper: lines of JSON through a named pipe that the keeper made. It
-// never holds up a turn and outlives the keeper: while nobody reads, lines are dropped and counted, and once
-// somebody reads again, whole lines come again.
+// Sends a gatherer's events to its keeper, as lines of JSON through a named pipe that the keeper created.
+// Writing never blocks the event loop, and the pipe survives a restart of the keeper: while there is no
+// reader, lines are dropped and counted; a new reader receives complete lines again.
 #pragma once
 
 #include <cstdint>
@@ -16,13 +16,16 @@
 
 class Pipe final : public net::Watcher {
  public:
-  // Throws std::system_error where there is no such pipe, or nobody has it open for reading.
+  // Throws std::system_error if `path` is not a named pipe or nobody has it open for reading. The loop must
+  // outlive this object.
   Pipe(net::Loop& loop, const std::string& path);
   ~Pipe() override;
   Pipe(const Pipe&) = delete;
   Pipe& operator=(const Pipe&) = delete;
 
-  void write_line(std::string_view text);  // without its end
+  // Queues a line, given without its line end. Drops it if more than kMaxPendingBytes would be pending.
+  void write_line(std::string_view text);
+  // Returns the number of lines dropped so far.
   std::uint64_t dropped() const { return dropped_; }
 
   void ready(bool readable, bool writable) override;
@@ -32,7 +35,7 @@
 
   net::Loop& loop_;
   net::Descriptor fd_;
-  std::uint32_t place_ = 0;
+  std::uint32_t watch_id_ = 0;
   std::string pending_;
   std::uint64_t dropped_ = 0;
 };
--- a/src/front/front.h
+++ b/src/front/front.h
@@ -1,6 +1,7 @@
-// What a front is to the gatherer, whatever protocol its clients speak: multigets come in whole, each gets
-// one final answer, and clients may leave before it. A front reads and writes its protocol and keeps its
-// connections; it decides nothing about servers and knows no other front.
+// The interface between the gatherer and its fronts. A front serves the clients of one protocol: it delivers
+// complete multigets, writes one final answer for each, and reports clients that disconnect earlier. It owns
+// its protocol and its connections, knows nothing of shard servers or of other fronts, and makes no decisions
+// about them.
 #pragma once
 
 #include <cstdint>
@@ -13,68 +14,79 @@
 
 namespace marbledyke::front {
 
+// A part of a client's multiget.
 struct Part {
   int shard = 0;
-  double weight = 0;  // share of the whole answer; those of a multiget add up to 1
+  double weight = 0;  // share of the complete answer; the weights of a multiget's parts add up to 1
   std::uint64_t key = 0;
-  Duration work_estimate{};  // of the work; zero: none
+  Duration work_estimate{};  // the client's estimate of the part's work; zero: none
 };
 
-// A client's multiget. Its id is unique among those in hand, and of characters that a frame's line may hold.
+// A client's multiget. Its id is unique among the pending multigets and consists of characters that are valid
+// in the header line of a frame.
 struct Multiget {
   std::string id;
   int op_type = 0;
-  int customer = -1;             // none that the terms name
-  Duration client_timeout{};     // from when the client sent it
-  bool is_client_retry = false;  // the client says that it has tried before
+  int customer = -1;             // index into the settings' customers; -1: not listed there
+  Duration client_timeout{};     // measured from when the client sent the multiget
+  bool is_client_retry = false;  // the client states that it has tried before
   std::vector<Part> parts;
-  std::shared_ptr<const std::string> text;  // what every part carries
+  std::shared_ptr<const std::string> text;  // payload that each part carries
 };
 
-// A request that has come in whole.
+// A multiget that was received completely.
 struct Request {
-  std::uint64_t caller = 0;  // the front's own number for who waits for the answer; never 0
+  std::uint64_t caller = 0;  // the front's number for the client that waits for the answer; never 0
   Multiget multiget;
-  Duration first_byte_at{};  // its first byte was here then
+  Duration first_byte_at{};  // when its first byte was received
 };
 
+// A shard's value in an answer; the text is borrowed.
 struct Value {
   int shard = 0;
   std::string_view body;
 };
 
+// Why a multiget got no answer.
 enum class Refusal {
-  pushed_back,   // trying again is harmless
-  at_capacity,   // the same: as much is in hand as may be
-  duplicate_id,  // one of that id is in hand
-  failed         // it may have run
+  pushed_back,   // nothing ran; a retry is harmless
+  at_capacity,   // not accepted, since the limit of pending multigets is reached; a retry is harmless
+  duplicate_id,  // not accepted, since a multiget with this id is pending
+  failed         // may have run
 };
 
 class Front {
  public:
   virtual ~Front() = default;
 
-  // The final answer to a multiget; whoever has left meanwhile is passed over.
-  virtual void answer(std::uint64_t caller, bool whole, const std::vector<Value>& values) = 0;
-  virtual void refuse(std::uint64_t caller, Refusal why, Duration come_back) = 0;
+  // Sends the final answer to a multiget; ignored if the client has disconnected.
+  virtual void answer(std::uint64_t caller, bool complete, const std::vector<Value>& values) = 0;
+  // Sends a refusal as the final answer; `retry_after` of zero gives no advice.
+  virtual void refuse(std::uint64_t caller, Refusal reason, Duration retry_after) = 0;
 
-  // A planned stop, in this order.
-  virtual void announce_stop() = 0;  // says so to who asks whether this gatherer serves
-  virtual void stop_accepting() = 0;
-  virtual void close_after_answers() = 0;  // from now on each connection is closed after its answer
-  virtual void close_idle(Duration since) = 0;
+  // The steps of a planned stop, in this order.
+  virtual void announce_stop() = 0;        // health checks report from now on that this gatherer is stopping
+  virtual void stop_accepting() = 0;       // accepts no more connections
+  virtual void close_after_answers() = 0;  // from now on closes each connection after its next answer
+  virtual void close_idle(Duration since) = 0;  // closes connections that have been idle since before `since`
 
-  virtual bool release_connection() = 0;  // ends the connection that can best be spared
-  virtual bool empty() const = 0;  // no client is connected; in a planned stop also: none can come any more
-  virtual bool is_writing() const { return false; }  // a client has not read all of its answer yet
+  // Closes the connection that is least harmful to close, to release a descriptor; false if there is none.
+  virtual bool release_connection() = 0;
+  // Returns whether no client is connected; in a planned stop also whether none can connect any more.
+  virtual bool empty() const = 0;
+  // Returns whether part of an answer is still unsent because its client reads slowly.
+  virtual bool is_writing() const { return false; }
+  // Returns the number of connections.
   virtual std::size_t size() const = 0;
-  virtual void destroy_closed() = 0;  // frees what has ended; not while it may still be told of it
+  // Destroys closed connections. Must not be called while the event loop may still call back into them.
+  virtual void destroy_closed() = 0;
 
-  virtual void log_totals() const {}  // a line of totals in the log
+  // Logs a line of totals.
+  virtual void log_totals() const {}
 
-  // What has come in since the last time.
+  // Events since the gatherer last collected them.
   std::vector<Request> requests;
-  std::vector<std::uint64_t> departed;  // callers with a multiget in hand that have gone
+  std::vector<std::uint64_t> departed;  // callers that disconnected while their multiget was pending
 };
 
 }  // namespace marbledyke::front
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -13,30 +13,31 @@
 namespace marbledyke::log {
 namespace {
 
-constexpr std::array<const char*, 4> kLevels{"debug", "info", "warning", "error"};
-constexpr std::array<spdlog::level::level_enum, 4> kTheirs{spdlog::level::debug, spdlog::level::info,
-                                                           spdlog::level::warn, spdlog::level::err};
+// Both are indexed by Level.
+constexpr std::array<const char*, 4> kLevelNames{"debug", "info", "warning", "error"};
+constexpr std::array<spdlog::level::level_enum, 4> kSpdlogLevels{spdlog::level::debug, spdlog::level::info,
+                                                                 spdlog::level::warn, spdlog::level::err};
 
-struct State {
-  State() : logger("marbledyke", std::make_shared<spdlog::sinks::stderr_sink_st>()) {
+struct LogState {
+  LogState() : logger("marbledyke", std::make_shared<spdlog::sinks::stderr_sink_st>()) {
     logger.set_pattern("%v");
     logger.set_level(spdlog::level::warn);
     logger.flush_on(spdlog::level::debug);
   }
   spdlog::logger logger;
-  Format form = Format::plain;
+  Format format = Format::plain;
   std::string name = "marbledyke";
-  std::function<void(const std::string&)> tap;
+  std::function<void(const std::string&)> listener;
 };
 
-State& state() {
-  static State one;
-  return one;
+LogState& state() {
+  static LogState instance;
+  return instance;
 }
 
-// A JSON string; bytes that are no UTF-8 are peers' doing and become question marks, so that each line can be
-// read.
-void put_quoted(std::string& out, std::string_view text) {
+// Appends a JSON string. Bytes that are not valid UTF-8, which only peers can cause, become question marks,
+// so that each line remains valid JSON.
+void append_quoted(std::string& out, std::string_view text) {
   static constexpr char kHex[] = "0123456789abcdef";
   out += '"';
   for (std::size_t i = 0; i < text.size(); ++i) {
@@ -51,19 +52,19 @@
     } else if (c < 0x80) {
       out += text[i];
     } else {
-      const std::size_t more = c >= 0xf0 && c < 0xf5 ? 3 : c >= 0xe0 ? 2 : 1;
-      bool fine = c >= 0xc2 && c < 0xf5 && i + more < text.size();
-      for (std::size_t k = 1; fine && k <= more; ++k)
-        fine = (static_cast<unsigned char>(text[i + k]) & 0xc0) == 0x80;
-      // Overlong forms, surrogates and what is beyond the last code point are told by the second byte.
-      if (fine && more >= 2) {
+      const std::size_t continuation_bytes = c >= 0xf0 && c < 0xf5 ? 3 : c >= 0xe0 ? 2 : 1;
+      bool valid = c >= 0xc2 && c < 0xf5 && i + continuation_bytes < text.size();
+      for (std::size_t k = 1; valid && k <= continuation_bytes; ++k)
+        valid = (static_cast<unsigned char>(text[i + k]) & 0xc0) == 0x80;
+      // The second byte tells overlong forms, surrogates and values beyond the last code point (U+10FFFF).
+      if (valid && continuation_bytes >= 2) {
         const auto second = static_cast<unsigned char>(text[i + 1]);
-        fine = !(c == 0xe0 && second < 0xa0) && !(c == 0xed && second > 0x9f) &&
-               !(c == 0xf0 && second < 0x90) && !(c == 0xf4 && second > 0x8f);
+        valid = !(c == 0xe0 && second < 0xa0) && !(c == 0xed && second > 0x9f) &&
+                !(c == 0xf0 && second < 0x90) && !(c == 0xf4 && second > 0x8f);
       }
-      if (fine) {
-        out.append(text.substr(i, more + 1));
-        i += more;
+      if (valid) {
+        out.append(text.substr(i, continuation_bytes + 1));
+        i += continuation_bytes;
       } else {
         out += '?';
       }
@@ -80,15 +81,15 @@
   return false;
 }
 
-void put_value(std::string& out, const Field::Value& value, Format form) {
+void append_value(std::string& out, const Field::Value& value, Format format) {
   if (const auto* text = std::get_if<std::string_view>(&value)) {
-    if (form == Format::json || needs_quotes(*text)) {
-      put_quoted(out, *text);
+    if (format == Format::json || needs_quotes(*text)) {
+      append_quoted(out, *text);
     } else {
       out += *text;
     }
-  } else if (const auto* whole = std::get_if<std::int64_t>(&value)) {
-    out += std::to_string(*whole);
+  } else if (const auto* integer = std::get_if<std::int64_t>(&value)) {
+    out += std::to_string(*integer);
   } else if (const auto* real = std::get_if<double>(&value)) {
     out += fmt::format("{}", *real);
   } else {
@@ -96,94 +97,100 @@
   }
 }
 
-std::string line_of(Format form, Level level, std::string_view name, Fields fields, std::uint64_t left_out) {
-  State& to = state();
-  const auto since = std::chrono::system_clock::now().time_since_epoch();
-  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(since).count();
-  const char* const word = kLevels[static_cast<std::size_t>(level)];
+std::string format_line(Format format, Level level, std::string_view name, Fields fields,
+                        std::uint64_t suppressed) {
+  const LogState& log = state();
+  const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
+  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(since_epoch).count();
+  const char* const level_name = kLevelNames[static_cast<std::size_t>(level)];
   std::string line;
   line.reserve(160);
-  if (form == Format::json) {
-    line = fmt::format(R"({{"time":{}.{:03},"level":"{}","gatherer":)", ms / 1000, ms % 1000, word);
-    put_quoted(line, to.name);
+  if (format == Format::json) {
+    line = fmt::format(R"({{"time":{}.{:03},"level":"{}","gatherer":)", ms / 1000, ms % 1000, level_name);
+    append_quoted(line, log.name);
     line += ",\"event\":";
-    put_quoted(line, name);
+    append_quoted(line, name);
     for (const Field& field : fields) {
       line += ',';
-      put_quoted(line, field.key);
+      append_quoted(line, field.key);
       line += ':';
-      put_value(line, field.value, Format::json);
+      append_value(line, field.value, Format::json);
     }
-    if (left_out > 0) line += fmt::format(",\"left_out\":{}", left_out);
+    if (suppressed > 0) line += fmt::format(",\"left_out\":{}", suppressed);
     line += '}';
   } else {
-    line = fmt::format("{}.{:03} {} {} {}", ms / 1000, ms % 1000, word, to.name, name);
+    line = fmt::format("{}.{:03} {} {} {}", ms / 1000, ms % 1000, level_name, log.name, name);
     for (const Field& field : fields) {
       line += ' ';
       line += field.key;
       line += '=';
-      put_value(line, field.value, Format::plain);
+      append_value(line, field.value, Format::plain);
     }
-    if (left_out > 0) line += fmt::format(" left_out={}", left_out);
+    if (suppressed > 0) line += fmt::format(" left_out={}", suppressed);
   }
   return line;
 }
 
-bool tapped(Level level) { return level >= Level::info && state().tap != nullptr; }
+bool has_listener(Level level) { return level >= Level::info && state().listener != nullptr; }
 
-void put(Level level, std::string_view name, Fields fields, std::uint64_t left_out) {
-  State& to = state();
-  if (tapped(level)) to.tap(line_of(Format::json, level, name, fields, left_out));
+void write_event(Level level, std::string_view name, Fields fields, std::uint64_t suppressed) {
+  LogState& log = state();
+  if (has_listener(level)) log.listener(format_line(Format::json, level, name, fields, suppressed));
   if (!is_enabled(level)) return;
-  to.logger.log(kTheirs[static_cast<std::size_t>(level)], line_of(to.form, level, name, fields, left_out));
+  log.logger.log(kSpdlogLevels[static_cast<std::size_t>(level)],
+                 format_line(log.format, level, name, fields, suppressed));
 }
 
 }  // namespace
 
-void configure(Level least, Format form, std::string_view name) {
-  state().logger.set_level(kTheirs[static_cast<std::size_t>(least)]);
-  state().form = form;
+void configure(Level min_level, Format format, std::string_view name) {
+  state().logger.set_level(kSpdlogLevels[static_cast<std::size_t>(min_level)]);
+  state().format = format;
   state().name = name;
 }
 
-bool is_enabled(Level level) { return state().logger.should_log(kTheirs[static_cast<std::size_t>(level)]); }
+bool is_enabled(Level level) {
+  return state().logger.should_log(kSpdlogLevels[static_cast<std::size_t>(level)]);
+}
 
 void event(Level level, std::string_view name, Fields fields) {
-  if (is_enabled(level) || tapped(level)) put(level, name, fields, 0);
+  if (is_enabled(level) || has_listener(level)) write_event(level, name, fields, 0);
 }
 
-void set_listener(std::function<void(const std::string&)> told) { state().tap = std::move(told); }
+void set_listener(std::function<void(const std::string&)> listener) {
+  state().listener = std::move(listener);
+}
 
 void RateLimitedEvent::write(Fields fields) {
-  if (!is_enabled(level_) && !tapped(level_)) return;
+  if (!is_enabled(level_) && !has_listener(level_)) return;
   using std::chrono::steady_clock;
   const std::int64_t second =
       std::chrono::duration_cast<std::chrono::seconds>(steady_clock::now().time_since_epoch()).count();
-  if (second == second_) {
-    ++left_out_;
+  if (second == last_second_) {
+    ++suppressed_;
     return;
   }
-  second_ = second;
-  put(level_, name_, fields, left_out_);
-  left_out_ = 0;
+  last_second_ = second;
+  write_event(level_, name_, fields, suppressed_);
+  suppressed_ = 0;
 }
 
 }  // namespace marbledyke::log
 
 namespace marbledyke {
 namespace {
-std::uint64_t broken = 0;
+std::uint64_t violations = 0;
 }
 
 bool check_invariant(bool holds, std::string_view what) {
   if (holds) return true;
-  ++broken;
+  ++violations;
   static log::RateLimitedEvent throttled(log::Level::error, "invariant.broken");
-  throttled.write({{"what", what}, {"so_far", broken}});
-  assert(false && "an invariant is broken");
+  throttled.write({{"what", what}, {"so_far", violations}});
+  assert(false && "invariant violated");
   return false;
 }
 
-std::uint64_t invariant_violations() { return broken; }
+std::uint64_t invariant_violations() { return violations; }
 
 }  // namespace marbledyke
--- a/src/totals/totals.cpp
+++ b/src/totals/totals.cpp
@@ -15,61 +15,63 @@
 using Storage = bh::dense_storage<std::uint64_t>;
 
 constexpr int kBuckets = 480;
-constexpr double kLeast = 50, kMost = 150e6;  // us
+constexpr double kMinUs = 50, kMaxUs = 150e6;
 
-std::uint64_t count_of(const nlohmann::json& from, const char* field) {
-  const std::int64_t value = config::integer_or(from, field, 0);
+// Returns a count that is not negative; 0 if the field is missing.
+std::uint64_t parse_count(const nlohmann::json& parent, const char* field) {
+  const std::int64_t value = config::integer_or(parent, field, 0);
   if (value < 0) throw config::BadInput(std::string(field) + ": is negative");
   return static_cast<std::uint64_t>(value);
 }
 
 }  // namespace
 
-struct LatencyHistogram::Held {
-  decltype(bh::make_histogram_with(Storage(), Axis(kBuckets, kLeast, kMost))) of =
-      bh::make_histogram_with(Storage(), Axis(kBuckets, kLeast, kMost));
+struct LatencyHistogram::Histogram {
+  decltype(bh::make_histogram_with(Storage(), Axis(kBuckets, kMinUs, kMaxUs))) buckets =
+      bh::make_histogram_with(Storage(), Axis(kBuckets, kMinUs, kMaxUs));
 };
 
 LatencyHistogram::LatencyHistogram() = default;
 LatencyHistogram::~LatencyHistogram() = default;
 LatencyHistogram::LatencyHistogram(const LatencyHistogram& other)
-    : held_(other.held_ ? std::make_unique<Held>(*other.held_) : nullptr) {}
+    : histogram_(other.histogram_ ? std::make_unique<Histogram>(*other.histogram_) : nullptr) {}
 LatencyHistogram& LatencyHistogram::operator=(const LatencyHistogram& other) {
-  if (this != &other) held_ = other.held_ ? std::make_unique<Held>(*other.held_) : nullptr;
+  if (this != &other)
+    histogram_ = other.histogram_ ? std::make_unique<Histogram>(*other.histogram_) : nullptr;
   return *this;
 }
 LatencyHistogram::LatencyHistogram(LatencyHistogram&&) noexcept = default;
 LatencyHistogram& LatencyHistogram::operator=(LatencyHistogram&&) noexcept = default;
 
 void LatencyHistogram::add(Duration value) {
-  if (!held_) held_ = std::make_unique<Held>();
-  held_->of(static_cast<double>(std::max<std::int64_t>(value.count(), 1)));
+  if (!histogram_) histogram_ = std::make_unique<Histogram>();
+  histogram_->buckets(static_cast<double>(std::max<std::int64_t>(value.count(), 1)));
 }
 
 void LatencyHistogram::merge(const LatencyHistogram& other) {
-  if (!other.held_) return;
-  if (!held_) held_ = std::make_unique<Held>();
-  held_->of += other.held_->of;
+  if (!other.histogram_) return;
+  if (!histogram_) histogram_ = std::make_unique<Histogram>();
+  histogram_->buckets += other.histogram_->buckets;
 }
 
 std::uint64_t LatencyHistogram::count() const {
   std::uint64_t out = 0;
-  if (held_) {
-    for (int i = -1; i <= kBuckets; ++i) out += held_->of.at(i);
+  if (histogram_) {
+    for (int i = -1; i <= kBuckets; ++i) out += histogram_->buckets.at(i);
   }
   return out;
 }
 
 Duration LatencyHistogram::quantile(double share) const {
-  const std::uint64_t all = count();
-  if (all == 0) return Duration{};
+  const std::uint64_t total = count();
+  if (total == 0) return Duration{};
   const auto wanted = std::clamp<std::uint64_t>(
-      static_cast<std::uint64_t>(std::ceil(share * static_cast<double>(all))), 1, all);
+      static_cast<std::uint64_t>(std::ceil(share * static_cast<double>(total))), 1, total);
   std::uint64_t sum = 0;
   for (int i = -1; i <= kBuckets; ++i) {
-    sum += held_->of.at(i);
+    sum += histogram_->buckets.at(i);
     if (sum >= wanted) {
-      const double edge = i < 0 ? kLeast : i == kBuckets ? kMost : held_->of.axis().bin(i).upper();
+      const double edge = i < 0 ? kMinUs : i == kBuckets ? kMaxUs : histogram_->buckets.axis().bin(i).upper();
       return Duration(static_cast<std::int64_t>(edge));
     }
   }
@@ -78,32 +80,33 @@
 
 std::uint64_t LatencyHistogram::count_above(Duration value) const {
   std::uint64_t out = 0;
-  if (!held_) return out;
-  const int from = held_->of.axis().index(static_cast<double>(std::max<std::int64_t>(value.count(), 1)));
-  for (int i = from + 1; i <= kBuckets; ++i) out += held_->of.at(i);
+  if (!histogram_) return out;
+  const int bucket =
+      histogram_->buckets.axis().index(static_cast<double>(std::max<std::int64_t>(value.count(), 1)));
+  for (int i = bucket + 1; i <= kBuckets; ++i) out += histogram_->buckets.at(i);
   return out;
 }
 
 nlohmann::json LatencyHistogram::to_json() const {
   nlohmann::json out = nlohmann::json::array();
-  if (!held_) return out;
+  if (!histogram_) return out;
   for (int i = -1; i <= kBuckets; ++i) {
-    if (const std::uint64_t count = held_->of.at(i); count > 0) out.push_back({i, count});
+    if (const std::uint64_t count = histogram_->buckets.at(i); count > 0) out.push_back({i, count});
   }
   return out;
 }
 
-LatencyHistogram LatencyHistogram::from_json(const nlohmann::json& from) {
+LatencyHistogram LatencyHistogram::from_json(const nlohmann::json& list) {
   LatencyHistogram out;
-  if (!from.is_array() || from.size() > kBuckets + 2)
+  if (!list.is_array() || list.size() > kBuckets + 2)  // with underflow and overflow
     throw config::BadInput("latency: not a list of buckets");
-  for (const nlohmann::json& pair : from) {
+  for (const nlohmann::json& pair : list) {
     if (!pair.is_array() || pair.size() != 2 || !pair[0].is_number_integer() ||
         !pair[1].is_number_unsigned() || pair[0].get<std::int64_t>() < -1 ||
         pair[0].get<std::int64_t>() > kBuckets)
       throw config::BadInput("latency: not a bucket and a count");
-    if (!out.held_) out.held_ = std::make_unique<Held>();
-    out.held_->of.at(pair[0].get<int>()) += pair[1].get<std::uint64_t>();
+    if (!out.histogram_) out.histogram_ = std::make_unique<Histogram>();
+    out.histogram_->buckets.at(pair[0].get<int>()) += pair[1].get<std::uint64_t>();
   }
   return out;
 }
@@ -141,67 +144,67 @@
   in_hand += other.in_hand;
 }
 
-nlohmann::json to_json(const OpTypeCounts& c) {
-  return {{"taken", c.taken},
-          {"answered", c.answered},
-          {"in_budget", c.in_budget},
-          {"whole", c.whole},
-          {"pushed_back", c.pushed_back},
-          {"failed", c.failed},
-          {"left", c.left},
-          {"sends", c.sends},
-          {"further", c.further},
-          {"importance", c.importance},
-          {"latency", c.latency.to_json()}};
-}
-
-nlohmann::json to_json(const Window& w) {
-  nlohmann::json ops = nlohmann::json::object();
-  for (const auto& [name, count] : w.by_op_type) ops[name] = to_json(count);
-  return {{"start_ms", w.start_ms},
-          {"op_types", std::move(ops)},
-          {"broken_invariants", w.broken_invariants},
-          {"not_connected", w.not_connected},
-          {"dropped", w.dropped},
-          {"in_hand", w.in_hand}};
-}
-
-Window parse_window(const nlohmann::json& from) {
+nlohmann::json to_json(const OpTypeCounts& counts) {
+  return {{"taken", counts.taken},
+          {"answered", counts.answered},
+          {"in_budget", counts.in_budget},
+          {"whole", counts.whole},
+          {"pushed_back", counts.pushed_back},
+          {"failed", counts.failed},
+          {"left", counts.left},
+          {"sends", counts.sends},
+          {"further", counts.further},
+          {"importance", counts.importance},
+          {"latency", counts.latency.to_json()}};
+}
+
+nlohmann::json to_json(const Window& window) {
+  nlohmann::json op_types = nlohmann::json::object();
+  for (const auto& [name, count] : window.by_op_type) op_types[name] = to_json(count);
+  return {{"start_ms", window.start_ms},
+          {"op_types", std::move(op_types)},
+          {"broken_invariants", window.broken_invariants},
+          {"not_connected", window.not_connected},
+          {"dropped", window.dropped},
+          {"in_hand", window.in_hand}};
+}
+
+Window parse_window(const nlohmann::json& object) {
   Window out;
-  out.start_ms = config::integer(from, "start_ms");
-  for (const auto& [name, one] : config::object(from, "op_types").items()) {
-    OpTypeCounts& c = out.by_op_type[name];
-    c.taken = count_of(one, "taken");
-    c.answered = count_of(one, "answered");
-    c.in_budget = count_of(one, "in_budget");
-    c.whole = count_of(one, "whole");
-    c.pushed_back = count_of(one, "pushed_back");
-    c.failed = count_of(one, "failed");
-    c.left = count_of(one, "left");
-    c.sends = count_of(one, "sends");
-    c.further = count_of(one, "further");
-    c.importance = config::number_or(one, "importance", 1);
-    c.latency = LatencyHistogram::from_json(config::array(one, "latency"));
+  out.start_ms = config::integer(object, "start_ms");
+  for (const auto& [name, one] : config::object(object, "op_types").items()) {
+    OpTypeCounts& counts = out.by_op_type[name];
+    counts.taken = parse_count(one, "taken");
+    counts.answered = parse_count(one, "answered");
+    counts.in_budget = parse_count(one, "in_budget");
+    counts.whole = parse_count(one, "whole");
+    counts.pushed_back = parse_count(one, "pushed_back");
+    counts.failed = parse_count(one, "failed");
+    counts.left = parse_count(one, "left");
+    counts.sends = parse_count(one, "sends");
+    counts.further = parse_count(one, "further");
+    counts.importance = config::number_or(one, "importance", 1);
+    counts.latency = LatencyHistogram::from_json(config::array(one, "latency"));
   }
-  out.broken_invariants = count_of(from, "broken_invariants");
-  out.not_connected = count_of(from, "not_connected");
-  out.dropped = count_of(from, "dropped");
-  out.in_hand = count_of(from, "in_hand");
+  out.broken_invariants = parse_count(object, "broken_invariants");
+  out.not_connected = parse_count(object, "not_connected");
+  out.dropped = parse_count(object, "dropped");
+  out.in_hand = parse_count(object, "in_hand");
   return out;
 }
 
 void WindowHistory::add(Window window) {
-  const std::int64_t at = window.start_ms;
-  windows_.erase(windows_.lower_bound(at), windows_.end());
+  const std::int64_t start_ms = window.start_ms;
+  windows_.erase(windows_.lower_bound(start_ms), windows_.end());
   for (const auto& [name, count] : window.by_op_type) sum_.by_op_type[name].merge(count);
-  // These count from the process's start already.
+  // These three are counted since the process started, so the largest is the latest.
   sum_.broken_invariants = std::max(sum_.broken_invariants, window.broken_invariants);
   sum_.not_connected = std::max(sum_.not_connected, window.not_connected);
   sum_.dropped = std::max(sum_.dropped, window.dropped);
   sum_.in_hand = window.in_hand;
-  sum_.start_ms = sum_.start_ms == 0 ? at : std::min(sum_.start_ms, at);
-  windows_.emplace(at, std::move(window));
-  if (windows_.size() > kKept) windows_.erase(windows_.begin());
+  sum_.start_ms = sum_.start_ms == 0 ? start_ms : std::min(sum_.start_ms, start_ms);
+  windows_.emplace(start_ms, std::move(window));
+  if (windows_.size() > kMaxWindows) windows_.erase(windows_.begin());
 }
 
 Window WindowHistory::merged(std::int64_t from_ms, std::int64_t until_ms) const {
