--- a/src/clients/eviction.cpp
+++ b/src/clients/eviction.cpp
@@ -7,29 +7,29 @@
 
 struct Rule {
   Activity activity;
-  Duration (*least_age)(Duration connect_timeout);
+  Duration (*min_age)(Duration connect_timeout);
 };
 
-Duration none(Duration) { return Duration::zero(); }
-Duration time_to_ask(Duration) { return kTimeToAsk; }
-Duration time_to_come_up(Duration connect_timeout) { return connect_timeout; }
+Duration no_age(Duration) { return Duration::zero(); }
+Duration first_request_grace(Duration) { return kFirstRequestGrace; }
+Duration connect_time(Duration connect_timeout) { return connect_timeout; }
 
-// In this order. Nobody loses an answer by the first three; the last two may be about to finish their
-// request, and are refused rather than closed.
-constexpr std::array<Rule, 5> kRules{{{Activity::closing, none},
-                                      {Activity::silent, time_to_come_up},
-                                      {Activity::idle, none},
-                                      {Activity::silent, time_to_ask},
-                                      {Activity::receiving, time_to_come_up}}};
+// In order of preference. The first three kinds lose no answer. The last two may be about to complete their
+// request, so they receive a refusal instead of a plain close.
+constexpr std::array<Rule, 5> kRules{{{Activity::closing, no_age},
+                                      {Activity::silent, connect_time},
+                                      {Activity::idle, no_age},
+                                      {Activity::silent, first_request_grace},
+                                      {Activity::receiving, connect_time}}};
 
 }  // namespace
 
 std::optional<EvictionRank> eviction_rank(Activity activity, Duration since, Duration now,
                                           Duration connect_timeout) {
-  for (std::size_t at = 0; at < kRules.size(); ++at) {
-    const Rule& rule = kRules[at];
-    if (rule.activity == activity && now >= since + rule.least_age(connect_timeout))
-      return EvictionRank{static_cast<int>(at), since};
+  for (std::size_t index = 0; index < kRules.size(); ++index) {
+    const Rule& rule = kRules[index];
+    if (rule.activity == activity && now >= since + rule.min_age(connect_timeout))
+      return EvictionRank{static_cast<int>(index), since};
   }
   return std::nullopt;
 }
--- a/src/clients/eviction.h
+++ b/src/clients/eviction.h
@@ -1,5 +1,5 @@
-// Which of the clients' connections is ended first when a place or a descriptor is needed for another, and
-// which never is. No I/O and no clock of its own.
+// Decides which client connection is closed first when another one needs its slot or descriptor, and which
+// ones are never closed. Does no I/O and has no clock.
 #pragma once
 
 #include <optional>
@@ -9,25 +9,26 @@
 
 namespace marbledyke::clients {
 
-// What a connection is doing, as far as ending it goes.
+// What a connection is doing, as far as closing it is concerned.
 enum class Activity {
-  closing,    // has had its last answer or its end; what still comes is dropped
-  silent,     // accepted, and nothing has come yet
+  closing,    // its last answer is sent or its end is announced; further input is discarded
+  silent,     // accepted, no byte received yet
   idle,       // between two requests
-  receiving,  // part of a request has come
-  busy        // a request is in hand, or its answer is being written
+  receiving,  // part of a request was received
+  busy        // a request is pending, or its answer is being written
 };
 
-// Less goes first: the kind of connection, then since when it has been so.
+// The smallest rank is closed first: the index of the rule that applies, then since when the activity lasts.
 using EvictionRank = std::pair<int, Duration>;
 
-// Of a connection that has been doing this since then; nothing: it is not to be ended. A silent or receiving
-// one is only old enough after a while, since an honest client's request may be on its way.
+// Returns the rank of a connection with this activity since `since`; nothing if it must not be closed. Silent
+// and receiving connections must have a minimum age, since a well-behaved client's request may be under way.
 std::optional<EvictionRank> eviction_rank(Activity activity, Duration since, Duration now,
                                           Duration connect_timeout);
 
-// So long a connection that says nothing is left alone, however short places are. Longer than an honest
-// client on the same site needs between its connect and its request; the protocol's own slack on sockets.
-inline constexpr Duration kTimeToAsk = std::chrono::milliseconds(50);
+// A silent connection is not closed before this age, however scarce slots are. It is longer than a
+// well-behaved client on the same site needs from connecting to its request, and equals the tolerance that
+// the protocol allows on sockets.
+inline constexpr Duration kFirstRequestGrace = std::chrono::milliseconds(50);
 
 }  // namespace marbledyke::clients
--- a/src/clients/http_front.cpp
+++ b/src/clients/http_front.cpp
@@ -13,101 +13,105 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kMostBody = 64 * 1024;  // the protocol's
-constexpr int kAcceptsARound = 64;
-constexpr std::size_t kMostAnswer = 32 * 1024 * 1024;
-// By the protocol a connection without a request may be closed after this, and who connects is owed an error
-// or a close within a second more.
-constexpr Duration kMayClose = 2s;
-constexpr Duration kSweep = 100ms;  // how often these are looked at
-// After the last moment at which clients connect in a planned stop the listener stays open so much longer: a
-// connect may come up late, and one that comes up as the listener closes is reset.
-constexpr Duration kLateConnects = 200ms;
-constexpr std::size_t kMostDropped = 4 * kMostBody;  // of what still comes after the last answer
+constexpr std::size_t kMaxRequestBodyBytes = 64 * 1024;  // a limit of the protocol
+constexpr std::size_t kMaxResponseBytes = 32 * 1024 * 1024;
+constexpr int kMaxAcceptsPerTurn = 64;
+// By the protocol, a connection without a request may be closed after this time, and a client must get an
+// error or a close within one second more.
+constexpr Duration kRequestTimeout = 2s;
+constexpr Duration kTimeoutCheckInterval = 100ms;
+// In a planned stop, the listener keep_alive open this much longer than clients connect: a connect may
+// complete late, and one that completes while the listener closes is reset.
+constexpr Duration kLateConnectGrace = 200ms;
+// Input that is read and discarded after the last answer.
+constexpr std::size_t kMaxDiscardedBytes = 4 * kMaxRequestBodyBytes;
 
 }  // namespace
 
-struct HttpFront::Caller {
+struct HttpFront::Connection {
   std::uint64_t number = 0;
   std::unique_ptr<net::Stream> stream;
-  net::HttpReader reader{net::HttpReader::Kind::request, kMostBody};
-  Duration first_byte{};
-  Duration since{};  // its last request was answered, or is being answered; before the first: it was accepted
-  bool spoken = false;
-  bool in_hand = false;    // its request waits for an answer
-  bool answering = false;  // an answer is being written, or this turn has written it
-  bool stays = true;
-  bool parting = false;  // answered for the last time; what still comes is dropped until the client closes
-  bool at_door = false;  // accepted without a place: its request is refused
-  bool aside = false;    // holds no place
-  std::size_t dropped = 0;
+  net::HttpReader reader{net::HttpReader::Kind::request, kMaxRequestBodyBytes};
+  Duration first_byte_at{};
+  Duration idle_since{};  // start or end of writing the last response; the accept before the first
+  bool has_sent_data = false;
+  bool is_request_pending = false;  // a request waits for its answer
+  bool is_responding = false;       // a response is being written, or was written in this turn
+  bool keep_alive = true;
+  bool is_closing = false;     // after the last response; input is discarded until the client closes
+  bool over_capacity = false;  // accepted without a slot, so that its request is refused
+  bool is_slotless = false;
+  std::size_t discarded_bytes = 0;
 };
 
 HttpFront::HttpFront(net::Loop& loop, const config::ServiceSettings& settings, const net::Address& listen,
-                     std::size_t most, net::Descriptor listening)
+                     std::size_t max_descriptors, net::Descriptor listening)
     : loop_(loop),
       settings_(settings),
-      shared_(static_cast<bool>(listening)),
+      is_listener_shared_(static_cast<bool>(listening)),
       listener_(listening ? std::move(listening) : net::listen_on(listen)),
-      most_(most),
-      held_back_(std::min(kHeldBack, most / 4)),
-      spare_(held_back_) {
+      max_descriptors_(max_descriptors),
+      reserved_(std::min(kReservedDescriptors, max_descriptors / 4)),
+      spare_(reserved_) {
   if (!listener_) throw std::system_error(errno, std::generic_category(), "listen");
-  place_ = loop_.watch(listener_.get(), *this);
-  sweep();
+  watch_id_ = loop_.watch(listener_.get(), *this);
+  check_timeouts();
 }
 
-HttpFront::~HttpFront() { shut(); }
+HttpFront::~HttpFront() { close_listener(); }
 
 void HttpFront::ready(bool, bool) { accept(); }
 
 bool HttpFront::accept() {
-  more_to_accept_ = false;
-  // A flood of connections waits its turn like everything else.
+  may_accept_more_ = false;
+  // Limited per turn, so that a flood of connections does not delay other events.
   for (int count = 0; listener_; ++count) {
-    if (count == kAcceptsARound) {
+    if (count == kMaxAcceptsPerTurn) {
       loop_.at(loop_.now(), [this] { accept(); });
       return true;
     }
     switch (accept_one()) {
-      case Accepted::one:
+      case AcceptResult::accepted:
         continue;
-      case Accepted::nobody:
+      case AcceptResult::none_waiting:
         return false;
-      case Accepted::no_room:
-        accept_later();
+      case AcceptResult::no_descriptor:
+        schedule_accept();
         return false;
     }
   }
   return false;
 }
 
-// Nobody is ended, and no descriptor is lent, unless somebody waits for it.
-HttpFront::Accepted HttpFront::accept_one() {
-  const bool no_place = in_places() >= places();
-  if ((no_place || no_descriptor()) && !net::anybody_waits(listener_.get())) return Accepted::nobody;
-  bool at_door = no_place && !free_place();
-  if (no_descriptor() && !spare_.lend() && !free_descriptor([](const Caller& one) { return one.aside; }))
-    return Accepted::no_room;
+// Closes a connection or takes a descriptor from the reserve only if a client is waiting for it.
+HttpFront::AcceptResult HttpFront::accept_one() {
+  const bool no_slot = slots_used() >= slots();
+  if ((no_slot || is_at_descriptor_limit()) && !net::anybody_waits(listener_.get()))
+    return AcceptResult::none_waiting;
+  bool over_capacity = no_slot && !free_slot();
+  if (is_at_descriptor_limit() && !spare_.lend() &&
+      !free_descriptor([](const Connection& one) { return one.is_slotless; }))
+    return AcceptResult::no_descriptor;
   net::Descriptor fd = net::accept_from(listener_.get());
-  if (!fd && (errno == EMFILE || errno == ENFILE)) fd = accept_without_descriptors(at_door);
+  if (!fd && (errno == EMFILE || errno == ENFILE)) fd = accept_without_descriptors(over_capacity);
   if (fd) {
-    greet(std::move(fd), at_door);
-    return Accepted::one;
+    add_connection(std::move(fd), over_capacity);
+    return AcceptResult::accepted;
   }
-  if (errno == EINTR || errno == ECONNABORTED) return Accepted::one;
-  return errno == EAGAIN || errno == EWOULDBLOCK ? Accepted::nobody : Accepted::no_room;
+  if (errno == EINTR || errno == ECONNABORTED) return AcceptResult::accepted;
+  return errno == EAGAIN || errno == EWOULDBLOCK ? AcceptResult::none_waiting : AcceptResult::no_descriptor;
 }
 
-// The process has no descriptor left, though there may be places: servers may hold them. One that can be
-// spared makes room; else it is lent for a refusal.
-net::Descriptor HttpFront::accept_without_descriptors(bool& at_door) {
+// The process is out of descriptors although there may be free slots, since connections to shard servers use
+// descriptors too. Closes a connection if one can be evicted; otherwise takes one from the reserve for a
+// refusal.
+net::Descriptor HttpFront::accept_without_descriptors(bool& over_capacity) {
   if (!net::anybody_waits(listener_.get())) {
     errno = EAGAIN;
     return {};
   }
   if (!release_connection()) {
-    at_door = true;
+    over_capacity = true;
     if (!spare_.lend()) {
       errno = EMFILE;
       return {};
@@ -116,310 +120,320 @@
   return net::accept_from(listener_.get());
 }
 
-void HttpFront::greet(net::Descriptor fd, bool at_door) {
-  auto made = std::make_unique<Caller>();
-  Caller* const caller = made.get();
-  caller->number = next_caller_++;
-  caller->since = loop_.now();
-  caller->at_door = at_door;
+void HttpFront::add_connection(net::Descriptor fd, bool over_capacity) {
+  auto owned = std::make_unique<Connection>();
+  Connection* const connection = owned.get();
+  connection->number = next_number_++;
+  connection->idle_since = loop_.now();
+  connection->over_capacity = over_capacity;
   tally_.accepted += 1;
-  callers_.emplace(caller->number, std::move(made));
-  if (at_door) set_aside(*caller);
-  caller->stream = std::make_unique<net::Stream>(
-      loop_, std::move(fd), true, kMostBody, kMostAnswer,
-      net::Stream::Told{nullptr, [this, caller] { arrived(*caller); }, [this, caller] { drained(*caller); },
-                        [this, caller](bool) { close(*caller); }});
-  // Refused in this same turn where it has asked already, so that the next one finds the descriptor free.
-  if (at_door) caller->stream->read_now();
-}
-
-// Tried again when a connection ends, when one at the door has had its time to ask, and by sweep().
-void HttpFront::accept_later() {
-  more_to_accept_ = true;
+  connections_.emplace(connection->number, std::move(owned));
+  if (over_capacity) release_slot(*connection);
+  connection->stream = std::make_unique<net::Stream>(
+      loop_, std::move(fd), true, kMaxRequestBodyBytes, kMaxResponseBytes,
+      net::Stream::Told{nullptr, [this, connection] { on_data_received(*connection); },
+                        [this, connection] { on_response_written(*connection); },
+                        [this, connection](bool) { close(*connection); }});
+  // A request that is already there is refused in this turn, so that the descriptor is free for the next
+  // connection.
+  if (over_capacity) connection->stream->read_now();
+}
+
+// Accepting is retried when a connection closes, after kFirstRequestGrace (when a silent connection over
+// capacity can be closed), and by check_timeouts().
+void HttpFront::schedule_accept() {
+  may_accept_more_ = true;
   static log::RateLimitedEvent throttled(log::Level::warning, "client.not_accepted");
-  throttled.write(
-      {{"why", no_descriptor() ? "no place and no descriptor held back is free" : "no descriptor is left"}});
-  if (std::exchange(accept_due_, true)) return;
-  loop_.at(loop_.now() + kTimeToAsk, [this] {
-    accept_due_ = false;
+  throttled.write({{"why", is_at_descriptor_limit() ? "all slots and reserved descriptors are in use"
+                                                    : "out of descriptors"}});
+  if (std::exchange(is_accept_scheduled_, true)) return;
+  loop_.at(loop_.now() + kFirstRequestGrace, [this] {
+    is_accept_scheduled_ = false;
     accept();
   });
 }
 
-// What was lent is held back again as soon as it can be; false: there is no descriptor to be had.
-bool HttpFront::refill() {
-  while (spare_.held() < held_back_ && !no_descriptor()) {
+// Refills the reserve as far as the limit allows. Returns false if the process is out of descriptors.
+bool HttpFront::replenish_reserve() {
+  while (spare_.held() < reserved_ && !is_at_descriptor_limit()) {
     if (!spare_.take_back()) return false;
   }
   return true;
 }
 
-void HttpFront::set_aside(Caller& caller) {
-  if (!std::exchange(caller.aside, true)) aside_ += 1;
+void HttpFront::release_slot(Connection& connection) {
+  if (!std::exchange(connection.is_slotless, true)) slotless_ += 1;
 }
 
-// Whether its request can be taken: one at the door has a place if one has become free before it asked, or
-// that of a connection that says nothing, which goes to the door in its stead.
-bool HttpFront::has_place(Caller& caller) {
-  if (!caller.at_door) return true;
-  const bool free = in_places() < places() && refill();
-  if (!free && !silent_to_door()) return false;
-  if (in_places() >= places()) return false;  // who was read meanwhile may have taken it
-  caller.at_door = caller.aside = false;
-  aside_ -= 1;
+// Returns whether the request of a connection can be accepted. A connection over capacity takes a slot that
+// has become free meanwhile, or that of a silent connection, which is then over capacity in its place.
+bool HttpFront::acquire_slot(Connection& connection) {
+  if (!connection.over_capacity) return true;
+  const bool free = slots_used() < slots() && replenish_reserve();
+  if (!free && !displace_silent_connection()) return false;
+  if (slots_used() >= slots()) return false;  // a connection read meanwhile may have taken it
+  connection.over_capacity = connection.is_slotless = false;
+  slotless_ -= 1;
   return true;
 }
 
-// The oldest first; each is read before, as its request may have come and not been told of.
-bool HttpFront::silent_to_door() {
-  for (auto at = callers_.begin(); at != callers_.end();) {
-    Caller& caller = *(at++)->second;
-    if (caller.aside || activity(caller) != Activity::silent) continue;
-    caller.stream->read_now();
-    if (caller.stream->closed()) return true;
-    if (activity(caller) != Activity::silent) continue;
-    caller.at_door = true;
-    set_aside(caller);
+// Tries the oldest first. Reads from each before, since data may have arrived that the loop has not reported
+// yet.
+bool HttpFront::displace_silent_connection() {
+  for (auto at = connections_.begin(); at != connections_.end();) {
+    Connection& connection = *(at++)->second;
+    if (connection.is_slotless || activity(connection) != Activity::silent) continue;
+    connection.stream->read_now();
+    if (connection.stream->closed()) return true;
+    if (activity(connection) != Activity::silent) continue;
+    connection.over_capacity = true;
+    release_slot(connection);
     return true;
   }
   return false;
 }
 
-void HttpFront::arrived(Caller& caller) {
-  net::Ring& in = caller.stream->in();
-  if (caller.parting) {
-    // Beyond its bound the ring is left full and nothing more is read: 60 MB must not keep others waiting.
-    caller.dropped += in.size();
-    if (caller.dropped <= kMostDropped) in.clear();
+void HttpFront::on_data_received(Connection& connection) {
+  net::Ring& in = connection.stream->in();
+  if (connection.is_closing) {
+    // Beyond the limit the ring keep_alive full and nothing more is read, so that 60 MB from one client do
+    // not delay others.
+    connection.discarded_bytes += in.size();
+    if (connection.discarded_bytes <= kMaxDiscardedBytes) in.clear();
     return;
   }
-  while (!caller.in_hand && !caller.answering && !caller.stream->closed() && !in.empty()) {
-    if (!caller.reader.begun()) caller.first_byte = loop_.now();
-    caller.spoken = true;
-    in.drop(caller.reader.take(in.front()));
-    if (caller.reader.state() == net::HttpReader::State::bad) {
-      caller.in_hand = true;
+  while (!connection.is_request_pending && !connection.is_responding && !connection.stream->closed() &&
+         !in.empty()) {
+    if (!connection.reader.begun()) connection.first_byte_at = loop_.now();
+    connection.has_sent_data = true;
+    in.drop(connection.reader.take(in.front()));
+    if (connection.reader.state() == net::HttpReader::State::bad) {
+      connection.is_request_pending = true;
       static log::RateLimitedEvent throttled(log::Level::info, "client.unreadable");
-      throttled.write({{"status", caller.reader.complaint()}});
-      say(caller, answer_text(caller.reader.complaint(), "the request cannot be read\n", false), false);
-    } else if (caller.reader.state() == net::HttpReader::State::done) {
-      return request(caller);  // what is behind it waits until that one is answered
+      throttled.write({{"status", connection.reader.complaint()}});
+      respond(connection, answer_text(connection.reader.complaint(), "malformed request\n", false), false);
+    } else if (connection.reader.state() == net::HttpReader::State::done) {
+      return on_request_complete(connection);  // pipelined data waits until this request is answered
     }
   }
 }
 
-void HttpFront::request(Caller& caller) {
-  caller.in_hand = true;
-  const net::HttpMessage& message = caller.reader.message();
-  const bool has_a_place = has_place(caller);
-  caller.stays = message.stays() && has_a_place;
+void HttpFront::on_request_complete(Connection& connection) {
+  connection.is_request_pending = true;
+  const net::HttpMessage& message = connection.reader.message();
+  const bool has_slot = acquire_slot(connection);
+  connection.keep_alive = message.stays() && has_slot;
   const std::string path = message.second.substr(0, message.second.find('?'));
   if (path == "/healthz") {
-    if (message.first != "GET") return turn_away(caller.number, 405, "only GET is answered here\n");
-    if (leaving_) return turn_away(caller.number, 503, "stopping\n");
-    return say(caller, answer_text(200, "serving\n", caller.stays), caller.stays);
+    if (message.first != "GET") return respond_error(connection.number, 405, "method not allowed, use GET\n");
+    if (is_stopping_) return respond_error(connection.number, 503, "stopping\n");
+    return respond(connection, answer_text(200, "serving\n", connection.keep_alive), connection.keep_alive);
   }
-  if (path != "/api") return turn_away(caller.number, 404, "there is nothing here\n");
-  if (message.first != "POST") return turn_away(caller.number, 405, "only POST is answered here\n");
-  auto read = parse_multiget(message, settings_);
-  if (const RequestError* complaint = std::get_if<RequestError>(&read)) {
+  if (path != "/api") return respond_error(connection.number, 404, "not found\n");
+  if (message.first != "POST") return respond_error(connection.number, 405, "method not allowed, use POST\n");
+  auto parsed = parse_multiget(message, settings_);
+  if (const RequestError* error = std::get_if<RequestError>(&parsed)) {
     static log::RateLimitedEvent throttled(log::Level::info, "client.bad_request");
-    throttled.write({{"status", complaint->status}, {"why", complaint->reason}});
-    return turn_away(caller.number, complaint->status, complaint->reason + "\n");
+    throttled.write({{"status", error->status}, {"why", error->reason}});
+    return respond_error(connection.number, error->status, error->reason + "\n");
   }
-  if (!has_a_place) {
-    tally_.refused_at_door += 1;
-    return refuse_no_room(caller);
+  if (!has_slot) {
+    tally_.refused_at_capacity += 1;
+    return refuse_at_capacity(connection);
   }
-  requests.push_back({caller.number, std::move(std::get<Multiget>(read)), caller.first_byte});
+  requests.push_back({connection.number, std::move(std::get<Multiget>(parsed)), connection.first_byte_at});
 }
 
-void HttpFront::answer(std::uint64_t number, bool whole, const std::vector<Value>& values) {
-  const auto at = callers_.find(number);
-  if (at == callers_.end()) return;
-  const bool stays = at->second->stays && !parting_;
-  say(*at->second, answer_text(200, answer_body(whole, values), stays), stays);
+void HttpFront::answer(std::uint64_t number, bool complete, const std::vector<Value>& values) {
+  const auto at = connections_.find(number);
+  if (at == connections_.end()) return;
+  const bool keep_alive = at->second->keep_alive && !closes_after_answers_;
+  respond(*at->second, answer_text(200, answer_body(complete, values), keep_alive), keep_alive);
 }
 
-void HttpFront::refuse(std::uint64_t number, front::Refusal why, Duration come_back) {
-  switch (why) {
+void HttpFront::refuse(std::uint64_t number, front::Refusal reason, Duration retry_after) {
+  switch (reason) {
     case front::Refusal::pushed_back:
-      return turn_away(number, 503, "pushed back\n", come_back);
+      return respond_error(number, 503, "pushed back\n", retry_after);
     case front::Refusal::at_capacity:
-      return turn_away(number, 503, "no room\n", come_back);
+      return respond_error(number, 503, "at capacity\n", retry_after);
     case front::Refusal::duplicate_id:
-      return turn_away(number, 400, "x-request-id: one of that id is in hand\n");
+      return respond_error(number, 400, "x-request-id: a request with this id is pending\n");
     case front::Refusal::failed:
-      return turn_away(number, 504, "failed\n");
+      return respond_error(number, 504, "failed\n");
   }
 }
 
-void HttpFront::turn_away(std::uint64_t number, int status, std::string_view why, Duration come_back) {
-  const auto at = callers_.find(number);
-  if (at == callers_.end()) return;
-  const bool stays = at->second->stays && !parting_;
-  say(*at->second, answer_text(status, why, stays, come_back), stays);
+void HttpFront::respond_error(std::uint64_t number, int status, std::string_view reason,
+                              Duration retry_after) {
+  const auto at = connections_.find(number);
+  if (at == connections_.end()) return;
+  const bool keep_alive = at->second->keep_alive && !closes_after_answers_;
+  respond(*at->second, answer_text(status, reason, keep_alive, retry_after), keep_alive);
 }
 
-void HttpFront::say(Caller& caller, const std::string& text, bool stays) {
-  if (!check_invariant(caller.in_hand, "an answer belongs to a request in hand")) return;
-  caller.in_hand = false;
-  caller.answering = true;
-  caller.since = loop_.now();
-  caller.stays = stays;
-  caller.reader.restart();
-  // An answer that does not fit is none: the connection ends, and the client can tell.
-  if (!caller.stream->out().put(text)) return close(caller);
-  caller.stream->flush();
+void HttpFront::respond(Connection& connection, const std::string& text, bool keep_alive) {
+  if (!check_invariant(connection.is_request_pending, "a response belongs to a pending request")) return;
+  connection.is_request_pending = false;
+  connection.is_responding = true;
+  connection.idle_since = loop_.now();
+  connection.keep_alive = keep_alive;
+  connection.reader.restart();
+  // A response that does not fit the buffer closes the connection, which the client recognises as a failure.
+  if (!connection.stream->out().put(text)) return close(connection);
+  connection.stream->flush();
 }
 
-void HttpFront::drained(Caller& caller) {
-  caller.since = loop_.now();
-  if (!caller.stays) {
-    caller.answering = false;
-    return part(caller);
+void HttpFront::on_response_written(Connection& connection) {
+  connection.idle_since = loop_.now();
+  if (!connection.keep_alive) {
+    connection.is_responding = false;
+    return close_gracefully(connection);
   }
-  // What came while the answer was made has its turn after everyone else's: a client that sends one request
-  // right behind the other would otherwise never let go of the loop.
-  const std::uint64_t number = caller.number;
+  // Data received meanwhile is handled after the events of other connections. Otherwise a client that
+  // pipelines requests without a pause would occupy the loop.
+  const std::uint64_t number = connection.number;
   loop_.at(loop_.now(), [this, number] {
-    const auto at = callers_.find(number);
-    if (at == callers_.end()) return;
-    Caller& next = *at->second;  // may end in what follows; it is buried after the turn
-    next.answering = false;
-    arrived(next);
+    const auto at = connections_.find(number);
+    if (at == connections_.end()) return;
+    Connection& next = *at->second;  // may be closed below, but is destroyed only after the turn
+    next.is_responding = false;
+    on_data_received(next);
     next.stream->read_on();
   });
 }
 
-// Closed with bytes unread, a connection is reset, and the answer may be lost with it. So this side ends
-// first and the client has the time that a connection may take to come up to end as well.
-void HttpFront::part(Caller& caller) {
-  caller.parting = true;
-  set_aside(caller);
-  caller.since = loop_.now();
-  caller.stream->in().clear();
-  caller.stream->finish();
-  caller.stream->read_on();
+// Closing a connection with unread bytes resets it, and the response may be lost. So this side shuts down its
+// sending direction first, and the client has the connect timeout to close as well.
+void HttpFront::close_gracefully(Connection& connection) {
+  connection.is_closing = true;
+  release_slot(connection);
+  connection.idle_since = loop_.now();
+  connection.stream->in().clear();
+  connection.stream->finish();
+  connection.stream->read_on();
 }
 
-// Every wait on a client has its limit here: one that says nothing, or sends a request that does not end, is
-// owed its end; one that does not read its answer, or does not close after the last, has had its time. Idle
-// ones are let go when three of four places are taken, those idle longest first, so that the rest stays free
-// for who comes, and none is closed at the moment at which its next request may be under way.
-void HttpFront::sweep() {
-  std::vector<Caller*> idle;
+// Enforces the limits on every wait for a client: for the first byte, for the end of a request, for reading a
+// response, and for closing after the last one. Closes idle connections when three quarters of the
+// descriptors are in use, those idle longest first. That keeps the rest free for new clients, and avoids
+// closing a connection at the moment when its next request may be under way.
+void HttpFront::check_timeouts() {
+  std::vector<Connection*> idle;
   const Duration now = loop_.now();
-  for (auto at = callers_.begin(); at != callers_.end();) {
-    Caller& caller = *(at++)->second;
-    if (caller.in_hand) continue;
-    if (caller.parting) {
-      if (now >= caller.since + settings_.connect_timeout) {
-        caller.stream->read_now();
-        close(caller);
+  for (auto at = connections_.begin(); at != connections_.end();) {
+    Connection& connection = *(at++)->second;
+    if (connection.is_request_pending) continue;
+    if (connection.is_closing) {
+      if (now >= connection.idle_since + settings_.connect_timeout) {
+        connection.stream->read_now();
+        close(connection);
       }
-    } else if (caller.answering) {
-      if (now >= caller.since + settings_.max_route_timeout) close(caller);
-    } else if (caller.reader.begun()) {
-      if (now >= caller.first_byte + kMayClose) unended(caller);
-    } else if (now >= caller.since + kMayClose) {
-      if (caller.spoken) {
-        idle.push_back(&caller);
+    } else if (connection.is_responding) {
+      if (now >= connection.idle_since + settings_.max_route_timeout) close(connection);
+    } else if (connection.reader.begun()) {
+      if (now >= connection.first_byte_at + kRequestTimeout) time_out_request(connection);
+    } else if (now >= connection.idle_since + kRequestTimeout) {
+      if (connection.has_sent_data) {
+        idle.push_back(&connection);
       } else {
-        tally_.silent += 1;
-        part(caller);
+        tally_.closed_silent += 1;
+        close_gracefully(connection);
       }
     }
   }
-  const std::size_t room = most_ - most_ / 4;
-  if (callers_.size() > room) {
-    const auto most = std::min(idle.size(), callers_.size() - room);
-    std::partial_sort(idle.begin(), idle.begin() + static_cast<std::ptrdiff_t>(most), idle.end(),
-                      [](const Caller* a, const Caller* b) { return a->since < b->since; });
-    tally_.let_go += most;
-    for (std::size_t i = 0; i < most; ++i) part(*idle[i]);
+  const std::size_t max_connections = max_descriptors_ - max_descriptors_ / 4;
+  if (connections_.size() > max_connections) {
+    const auto excess = std::min(idle.size(), connections_.size() - max_connections);
+    std::partial_sort(idle.begin(), idle.begin() + static_cast<std::ptrdiff_t>(excess), idle.end(),
+                      [](const Connection* a, const Connection* b) { return a->idle_since < b->idle_since; });
+    tally_.closed_idle += excess;
+    for (std::size_t i = 0; i < excess; ++i) close_gracefully(*idle[i]);
   }
-  // What was short may have been given back by somebody else than a client, and of who waits already nothing
-  // is told again.
-  if (more_to_accept_) accept();
-  loop_.at(now + kSweep, [this] { sweep(); });
-}
-
-void HttpFront::unended(Caller& caller) {
-  caller.in_hand = true;
-  tally_.unended += 1;
-  say(caller, answer_text(408, "the request does not end\n", false), false);
-}
-
-void HttpFront::close(Caller& caller) {
-  caller.stream->close();
-  const auto at = callers_.find(caller.number);
-  if (at == callers_.end()) return;
-  if (caller.in_hand) departed.push_back(caller.number);
-  if (caller.aside) aside_ -= 1;
-  graves_.push_back(std::move(at->second));
-  callers_.erase(at);
-  if (more_to_accept_) {
-    // Not from within accept() itself, which ends connections to make room.
-    more_to_accept_ = false;
+  // Something other than a client may have released descriptors, and the loop does not report clients again
+  // that are already in the queue.
+  if (may_accept_more_) accept();
+  loop_.at(now + kTimeoutCheckInterval, [this] { check_timeouts(); });
+}
+
+void HttpFront::time_out_request(Connection& connection) {
+  connection.is_request_pending = true;
+  tally_.timed_out += 1;
+  respond(connection, answer_text(408, "request not completed in time\n", false), false);
+}
+
+void HttpFront::close(Connection& connection) {
+  connection.stream->close();
+  const auto at = connections_.find(connection.number);
+  if (at == connections_.end()) return;
+  if (connection.is_request_pending) departed.push_back(connection.number);
+  if (connection.is_slotless) slotless_ -= 1;
+  closed_.push_back(std::move(at->second));
+  connections_.erase(at);
+  if (may_accept_more_) {
+    // Deferred, since accept() itself closes connections to free a slot or a descriptor.
+    may_accept_more_ = false;
     loop_.at(loop_.now(), [this] { accept(); });
   }
 }
 
-Activity HttpFront::activity(const Caller& caller) const {
-  if (caller.in_hand || caller.answering) return Activity::busy;
-  if (caller.parting) return Activity::closing;
-  if (caller.reader.begun()) return Activity::receiving;
-  return caller.spoken ? Activity::idle : Activity::silent;
-}
-
-// Among these the one that can best be spared; null: none can.
-HttpFront::Caller* HttpFront::first_to_go(bool (*among)(const Caller&)) const {
-  Caller* first = nullptr;
-  std::optional<EvictionRank> least;
-  for (const auto& [number, caller] : callers_) {
-    if (!among(*caller)) continue;
-    const Activity doing = activity(*caller);
-    const Duration since = doing == Activity::receiving ? caller->first_byte : caller->since;
-    const auto rank = eviction_rank(doing, since, loop_.now(), settings_.connect_timeout);
-    if (!rank || (least && *least <= *rank)) continue;
-    least = rank;
-    first = caller.get();
+Activity HttpFront::activity(const Connection& connection) const {
+  if (connection.is_request_pending || connection.is_responding) return Activity::busy;
+  if (connection.is_closing) return Activity::closing;
+  if (connection.reader.begun()) return Activity::receiving;
+  return connection.has_sent_data ? Activity::idle : Activity::silent;
+}
+
+// Returns the eligible connection that is to be closed first; null if none can be closed.
+HttpFront::Connection* HttpFront::eviction_candidate(bool (*is_eligible)(const Connection&)) const {
+  Connection* first = nullptr;
+  std::optional<EvictionRank> lowest;
+  for (const auto& [number, connection] : connections_) {
+    if (!is_eligible(*connection)) continue;
+    const Activity current = activity(*connection);
+    const Duration since =
+        current == Activity::receiving ? connection->first_byte_at : connection->idle_since;
+    const auto rank = eviction_rank(current, since, loop_.now(), settings_.connect_timeout);
+    if (!rank || (lowest && *lowest <= *rank)) continue;
+    lowest = rank;
+    first = connection.get();
   }
   return first;
 }
 
-// Reads first what has come and was not told of yet: false, it has asked after all. Whose request may be on
-// its way is refused; between requests the client sends the next one anew, by the protocol. It is then
-// closing, or closed.
-bool HttpFront::dismiss(Caller& caller) {
-  const Activity before = activity(caller);
-  caller.stream->read_now();
-  if (caller.stream->closed() || caller.parting) return true;
-  if (activity(caller) != before) return false;
+// Closes a connection, or starts to. Reads from it first, since data may have arrived that the loop has not
+// reported yet: if that changes what the connection is doing, nothing is closed and the result is false. A
+// client whose request may be under way receives a refusal; between two requests the protocol makes clients
+// send the next one again.
+bool HttpFront::evict(Connection& connection) {
+  const Activity before = activity(connection);
+  connection.stream->read_now();
+  if (connection.stream->closed() || connection.is_closing) return true;
+  if (activity(connection) != before) return false;
   tally_.evicted += 1;
   if (before == Activity::idle) {
-    part(caller);
+    close_gracefully(connection);
   } else {
-    refuse_no_room(caller);
+    refuse_at_capacity(connection);
   }
-  return caller.stream->closed() || caller.parting;
+  return connection.stream->closed() || connection.is_closing;
 }
 
-// For a connection that has come: the first to go is ended in order. Who is aside already has no place to
-// give.
-bool HttpFront::free_place() {
-  while (Caller* const first = first_to_go([](const Caller& one) { return !one.aside; })) {
-    if (dismiss(*first)) return true;
+// Frees a slot for a new connection by closing another one gracefully. Connections without a slot are not
+// eligible.
+bool HttpFront::free_slot() {
+  while (Connection* const first =
+             eviction_candidate([](const Connection& one) { return !one.is_slotless; })) {
+    if (evict(*first)) return true;
   }
   return false;
 }
 
-// Ends one of these at once. All that it sent has been read and its own end has been sent, so nothing is
-// reset.
-bool HttpFront::free_descriptor(bool (*among)(const Caller&)) {
-  while (Caller* const first = first_to_go(among)) {
-    if (!dismiss(*first)) continue;
+// Frees a descriptor by closing a connection at once. Everything it sent has been read and its shutdown was
+// sent, so this does not reset it.
+bool HttpFront::free_descriptor(bool (*is_eligible)(const Connection&)) {
+  while (Connection* const first = eviction_candidate(is_eligible)) {
+    if (!evict(*first)) continue;
     if (!first->stream->closed()) close(*first);
     return true;
   }
@@ -427,69 +441,71 @@
 }
 
 bool HttpFront::release_connection() {
-  return free_descriptor([](const Caller&) { return true; });
+  return free_descriptor([](const Connection&) { return true; });
 }
 
-// Also before the request is whole: the client reads it as the answer to what it is sending. The advice,
-// where the terms allow one: requests in hand keep their places for about a latency budget.
-void HttpFront::refuse_no_room(Caller& caller) {
-  caller.in_hand = true;
-  const Duration come_back = std::min(settings_.max_latency_budget, settings_.max_retry_after);
-  say(caller, answer_text(503, "no room\n", false, come_back), false);
+// May precede the end of the request: the client reads the refusal as the response to what it is sending.
+// Pending requests hold their slots for about a latency budget, so that is the retry advice, where the
+// settings allow one.
+void HttpFront::refuse_at_capacity(Connection& connection) {
+  connection.is_request_pending = true;
+  const Duration retry_after = std::min(settings_.max_latency_budget, settings_.max_retry_after);
+  respond(connection, answer_text(503, "at capacity\n", false, retry_after), false);
 }
 
 void HttpFront::destroy_closed() {
-  graves_.clear();
-  refill();
+  closed_.clear();
+  replenish_reserve();
 }
 
 bool HttpFront::is_writing() const {
-  return std::any_of(callers_.begin(), callers_.end(), [](const auto& one) { return one.second->answering; });
+  return std::any_of(connections_.begin(), connections_.end(),
+                     [](const auto& one) { return one.second->is_responding; });
 }
 
-void HttpFront::announce_stop() { leaving_ = true; }
+void HttpFront::announce_stop() { is_stopping_ = true; }
 
-void HttpFront::close_after_answers() { parting_ = true; }
+void HttpFront::close_after_answers() { closes_after_answers_ = true; }
 
-// What the kernel has accepted is reset when its listener closes. So this one stays open for a while longer
-// than the protocol lets clients connect, and until nobody waits any more. Who waits in a queue that others
-// accept from waits for them.
+// Closing a listener resets the connections in its queue. So it keep_alive open for a while longer than the
+// protocol lets clients connect, and until the queue is empty. Connections in a shared queue are left to the
+// other processes.
 void HttpFront::stop_accepting() {
   if (!listener_) return;
-  if (!shared_) {
-    loop_.at(loop_.now() + kLateConnects, [this] { shut_when_nobody_waits(); });
+  if (!is_listener_shared_) {
+    loop_.at(loop_.now() + kLateConnectGrace, [this] { close_listener_when_queue_is_empty(); });
     return;
   }
   while (accept()) {
   }
-  shut();
+  close_listener();
 }
 
-void HttpFront::shut_when_nobody_waits() {
+void HttpFront::close_listener_when_queue_is_empty() {
   while (accept()) {
   }
-  if (!listener_ || !net::anybody_waits(listener_.get())) return shut();
-  loop_.at(loop_.now() + kTimeToAsk, [this] { shut_when_nobody_waits(); });
+  if (!listener_ || !net::anybody_waits(listener_.get())) return close_listener();
+  loop_.at(loop_.now() + kFirstRequestGrace, [this] { close_listener_when_queue_is_empty(); });
 }
 
-void HttpFront::shut() {
+void HttpFront::close_listener() {
   if (!listener_) return;
-  loop_.forget(listener_.get(), place_);
+  loop_.forget(listener_.get(), watch_id_);
   listener_.close();
 }
 
-// A request may be under way on any of these, and a close over unread bytes would reset the connection: so
-// each is ended in order, and what still comes is dropped, for the client to send anew elsewhere. Who has
-// only just come is about to ask for the first time; half a request from before then would keep a planned
-// stop from its end.
+// A request may be under way on any of these connections, and closing over unread bytes would reset it. So
+// each is closed gracefully and its input is discarded; the client sends that request again elsewhere.
+// Connections newer than `since` are about to send their first request. A request begun before `since` is
+// timed out, since it would delay the end of a planned stop.
 void HttpFront::close_idle(Duration since) {
-  for (auto at = callers_.begin(); at != callers_.end();) {
-    Caller& caller = *(at++)->second;
-    if (caller.in_hand || caller.answering || caller.parting) continue;
-    if (!caller.reader.begun()) {
-      if (caller.spoken || caller.since < since) part(caller);
-    } else if (caller.first_byte < since) {
-      unended(caller);
+  for (auto at = connections_.begin(); at != connections_.end();) {
+    Connection& connection = *(at++)->second;
+    if (connection.is_request_pending || connection.is_responding || connection.is_closing) continue;
+    if (!connection.reader.begun()) {
+      if (connection.has_sent_data || connection.idle_since < since) close_gracefully(connection);
+    } else if (connection.first_byte_at < since) {
+      time_out_request(connection);
     }
   }
 }
--- a/src/clients/http_front.h
+++ b/src/clients/http_front.h
@@ -1,7 +1,7 @@
-// The connections from clients: requests come in, one at a time on each, and answers go out. Who finds no
-// place is accepted all the same, on descriptors that are held back for this, and refused: by the protocol a
-// request is taken as soon as it is written to a connection that the kernel has accepted, so one that is left
-// there is lost.
+// The front for the platform's own protocol: multigets over HTTP/1.1, one request at a time on each
+// connection. By the protocol, a request counts as taken as soon as it is written to a connection that the
+// kernel has accepted, so a connection left in the accept queue would lose it. Clients beyond the limit are
+// therefore accepted too, with descriptors reserved for that purpose, and refused.
 #pragma once
 
 #include <cstdint>
@@ -22,90 +22,96 @@
 
 using front::Request;
 
-// Descriptors held back for connections that find no place; a quarter of what there is where that is less.
-// One is needed for a round trip at a time, so a few refuse any number.
-inline constexpr std::size_t kHeldBack = 8;
+// Descriptors reserved for connections that find no free slot; a quarter of all where that is less. Each is
+// needed for about one round trip, so a few suffice to refuse any number of clients.
+inline constexpr std::size_t kReservedDescriptors = 8;
 
 class HttpFront final : public front::Front, public net::Watcher {
  public:
-  // Throws std::system_error where the address cannot be listened on. `most` descriptors are for connections,
-  // those held back for refusals among them. A socket that listens already, and that others accept from as
-  // well, may be given instead of being opened.
+  // Uses at most `max_descriptors` for connections, including the reserved ones. `listening` is an already
+  // listening socket that other processes accept from as well; without one, a socket is opened at `listen`.
+  // Throws std::system_error if that fails. The loop and the settings must outlive this object.
   HttpFront(net::Loop& loop, const config::ServiceSettings& settings, const net::Address& listen,
-            std::size_t most, net::Descriptor listening = {});
+            std::size_t max_descriptors, net::Descriptor listening = {});
   ~HttpFront() override;
 
-  void answer(std::uint64_t caller, bool whole, const std::vector<Value>& values) override;
-  void refuse(std::uint64_t caller, front::Refusal why, Duration come_back) override;
+  void answer(std::uint64_t caller, bool complete, const std::vector<Value>& values) override;
+  void refuse(std::uint64_t caller, front::Refusal reason, Duration retry_after) override;
 
   void announce_stop() override;
   void close_after_answers() override;
   void stop_accepting() override;
   void close_idle(Duration since) override;
   bool release_connection() override;
-  bool empty() const override { return callers_.empty() && !listener_; }  // and nobody can come
+  bool empty() const override { return connections_.empty() && !listener_; }
   bool is_writing() const override;
-  std::size_t size() const override { return callers_.size(); }
+  std::size_t size() const override { return connections_.size(); }
 
   void ready(bool readable, bool writable) override;
   void destroy_closed() override;
 
+  // Counts since the start, in connections.
   struct Tally {
-    std::uint64_t accepted = 0, let_go = 0, evicted = 0, silent = 0, unended = 0, refused_at_door = 0;
+    std::uint64_t accepted = 0;
+    std::uint64_t closed_idle = 0;          // idle ones closed because most slots were in use
+    std::uint64_t evicted = 0;              // closed to free a slot or a descriptor
+    std::uint64_t closed_silent = 0;        // never sent a byte
+    std::uint64_t timed_out = 0;            // request not completed in time
+    std::uint64_t refused_at_capacity = 0;  // request refused because there was no slot
   };
   const Tally& tally() const { return tally_; }
-  void room(std::size_t most) { most_ = most; }  // descriptors, from now on
+  void set_max_descriptors(std::size_t max_descriptors) { max_descriptors_ = max_descriptors; }
 
  private:
-  struct Caller;
-  enum class Accepted { one, nobody, no_room };
+  struct Connection;
+  enum class AcceptResult { accepted, none_waiting, no_descriptor };
 
-  bool accept();  // true where more may be waiting
-  Accepted accept_one();
-  net::Descriptor accept_without_descriptors(bool& at_door);
-  void greet(net::Descriptor fd, bool at_door);
-  void accept_later();
-  std::size_t places() const { return most_ - held_back_; }
-  std::size_t in_places() const { return callers_.size() - aside_; }
-  bool no_descriptor() const { return callers_.size() + spare_.held() >= most_; }
-  bool refill();
-  bool has_place(Caller& caller);
-  bool silent_to_door();
-  void set_aside(Caller& caller);
+  bool accept();  // returns whether more connections may be waiting
+  AcceptResult accept_one();
+  net::Descriptor accept_without_descriptors(bool& over_capacity);
+  void add_connection(net::Descriptor fd, bool over_capacity);
+  void schedule_accept();
+  std::size_t slots() const { return max_descriptors_ - reserved_; }
+  std::size_t slots_used() const { return connections_.size() - slotless_; }
+  bool is_at_descriptor_limit() const { return connections_.size() + spare_.held() >= max_descriptors_; }
+  bool replenish_reserve();
+  bool acquire_slot(Connection& connection);
+  bool displace_silent_connection();
+  void release_slot(Connection& connection);
 
-  void arrived(Caller& caller);
-  void request(Caller& caller);
-  void turn_away(std::uint64_t caller, int status, std::string_view why, Duration come_back = {});
-  void say(Caller& caller, const std::string& text, bool stays);
-  void drained(Caller& caller);
-  void part(Caller& caller);
-  Activity activity(const Caller& caller) const;
-  Caller* first_to_go(bool (*among)(const Caller&)) const;
-  bool dismiss(Caller& caller);
-  bool free_place();
-  bool free_descriptor(bool (*among)(const Caller&));
-  void refuse_no_room(Caller& caller);
-  void sweep();
-  void unended(Caller& caller);
-  void close(Caller& caller);
-  void shut_when_nobody_waits();
-  void shut();
+  void on_data_received(Connection& connection);
+  void on_request_complete(Connection& connection);
+  void on_response_written(Connection& connection);
+  void respond_error(std::uint64_t caller, int status, std::string_view reason, Duration retry_after = {});
+  void respond(Connection& connection, const std::string& text, bool keep_alive);
+  void close_gracefully(Connection& connection);
+  Activity activity(const Connection& connection) const;
+  Connection* eviction_candidate(bool (*is_eligible)(const Connection&)) const;
+  bool evict(Connection& connection);
+  bool free_slot();
+  bool free_descriptor(bool (*is_eligible)(const Connection&));
+  void refuse_at_capacity(Connection& connection);
+  void check_timeouts();
+  void time_out_request(Connection& connection);
+  void close(Connection& connection);
+  void close_listener_when_queue_is_empty();
+  void close_listener();
 
   net::Loop& loop_;
   const config::ServiceSettings& settings_;
-  const bool shared_;  // others accept from the same socket
+  const bool is_listener_shared_;  // other processes accept from the same socket
   net::Descriptor listener_;
-  std::uint32_t place_ = 0;
-  std::size_t most_;
-  const std::size_t held_back_;  // of these; for connections that find no place
+  std::uint32_t watch_id_ = 0;
+  std::size_t max_descriptors_;
+  const std::size_t reserved_;  // of these, for connections that find no slot
   net::Spare spare_;
-  std::size_t aside_ = 0;  // connections that hold no place: at the door, or closing
-  bool leaving_ = false, parting_ = false;
-  bool more_to_accept_ = false;
-  bool accept_due_ = false;  // a timer will try again
-  std::map<std::uint64_t, std::unique_ptr<Caller>> callers_;
-  std::vector<std::unique_ptr<Caller>> graves_;
-  std::uint64_t next_caller_ = 1;
+  std::size_t slotless_ = 0;  // connections that hold no slot: over capacity, or closing
+  bool is_stopping_ = false, closes_after_answers_ = false;
+  bool may_accept_more_ = false;
+  bool is_accept_scheduled_ = false;
+  std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;
+  std::vector<std::unique_ptr<Connection>> closed_;
+  std::uint64_t next_number_ = 1;
   Tally tally_;
 };
 
--- a/src/clients/multiget_request.cpp
+++ b/src/clients/multiget_request.cpp
@@ -13,94 +13,103 @@
 using config::json;
 using namespace std::chrono_literals;
 
-constexpr std::size_t kLongestId = 128;
-constexpr std::int64_t kLongestPatience = 3'600'000;  // ms
-constexpr double kRounding = 0.001;                   // of masses as they are written
+constexpr std::size_t kMaxIdBytes = 128;
+constexpr std::int64_t kMaxTimeoutMs = 3'600'000;
+constexpr std::int64_t kMaxWorkEstimateUs = 3'600'000'000;
+constexpr double kMassTolerance = 0.001;  // clients write masses with few digits
 
-struct Wrong {
-  RequestError complaint;
+struct RejectedRequest {
+  RequestError error;
 };
 
-[[noreturn]] void refuse(std::string why, int status = 400) { throw Wrong{{status, std::move(why)}}; }
+[[noreturn]] void reject(std::string reason, int status = 400) {
+  throw RejectedRequest{{status, std::move(reason)}};
+}
 
-// It becomes part of a frame's line, so nothing may stand in it that could end a field or a line there.
-bool safe_id(std::string_view id) {
-  return !id.empty() && id.size() <= kLongestId &&
+// The id becomes part of the header line of a frame, so it must not contain characters that end a field or a
+// line.
+bool is_valid_id(std::string_view id) {
+  return !id.empty() && id.size() <= kMaxIdBytes &&
          std::all_of(id.begin(), id.end(), [](char c) { return c > ' ' && c < 127; });
 }
 
 template <class T>
-std::optional<T> number(std::string_view text, int base) {
+std::optional<T> parse_number(std::string_view text, int base) {
   T out{};
-  const auto [at, wrong] = std::from_chars(text.data(), text.data() + text.size(), out, base);
-  if (text.empty() || wrong != std::errc() || at != text.data() + text.size()) return std::nullopt;
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out, base);
+  if (text.empty() || error != std::errc() || end != text.data() + text.size()) return std::nullopt;
   return out;
 }
 
-const std::string& header(const net::HttpMessage& from, const char* name) {
-  const std::string* value = from.header(name);
-  if (value == nullptr) refuse(std::string(name) + ": missing");
-  if (from.count(name) > 1)
-    refuse(std::string(name) + ": comes twice");  // readers would differ on which counts
+// Returns the value of a header that must be present exactly once: of duplicates, implementations differ in
+// which one they use.
+const std::string& required_header(const net::HttpMessage& request, const char* name) {
+  const std::string* value = request.header(name);
+  if (value == nullptr) reject(std::string(name) + ": missing");
+  if (request.count(name) > 1) reject(std::string(name) + ": given more than once");
   return *value;
 }
 
-Part piece(const json& from, const config::ServiceSettings& settings) {
+Part parse_part(const json& item, const config::ServiceSettings& settings) {
   Part out;
-  const std::int64_t shard = config::integer(from, "slice");
-  if (shard < 0 || shard >= settings.shards) throw BadInput("slice: there is no such shard");
+  const std::int64_t shard = config::integer(item, "slice");
+  if (shard < 0 || shard >= settings.shards) throw BadInput("slice: no such shard");
   out.shard = static_cast<int>(shard);
-  out.weight = config::number(config::required(from, "mass"), "mass");
-  if (out.weight <= 0 || out.weight > 1 + kRounding) throw BadInput("mass: not a share");
-  const std::int64_t micros = config::integer_or(from, "micros", 0);
-  if (micros < 0 || micros > 3'600'000'000) throw BadInput("micros: out of range");
+  out.weight = config::number(config::required(item, "mass"), "mass");
+  if (out.weight <= 0 || out.weight > 1 + kMassTolerance) throw BadInput("mass: not above 0 and up to 1");
+  const std::int64_t micros = config::integer_or(item, "micros", 0);
+  if (micros < 0 || micros > kMaxWorkEstimateUs) throw BadInput("micros: out of range");
   out.work_estimate = Duration(micros);
-  if (from.contains("term")) {
-    const auto key = number<std::uint64_t>(config::text(from, "term"), 16);
+  if (item.contains("term")) {
+    const auto key = parse_number<std::uint64_t>(config::text(item, "term"), 16);
     if (!key) throw BadInput("term: not hex digits");
     out.key = *key;
   }
   return out;
 }
 
-Multiget read(const net::HttpMessage& from, const config::ServiceSettings& settings) {
+Multiget parse(const net::HttpMessage& request, const config::ServiceSettings& settings) {
   Multiget out;
-  out.id = header(from, "x-request-id");
-  if (!safe_id(out.id)) refuse("x-request-id: empty, too long, or with characters it may not have");
-  const std::string& type = header(from, "x-class");
-  const auto known = std::find_if(settings.op_types.begin(), settings.op_types.end(),
-                                  [&](const config::OpTypeSettings& one) { return one.name == type; });
-  if (known == settings.op_types.end()) refuse("x-class: unknown");
-  out.op_type = static_cast<int>(known - settings.op_types.begin());
-  // A customer that the terms do not name has no share of its own, and so none to go beyond.
-  if (const std::string* name = from.header("x-tenant"); name != nullptr) {
-    const auto at = std::find(settings.customers.begin(), settings.customers.end(), *name);
-    if (at != settings.customers.end()) out.customer = static_cast<int>(at - settings.customers.begin());
+  out.id = required_header(request, "x-request-id");
+  if (!is_valid_id(out.id))
+    reject("x-request-id: empty, longer than 128 bytes, or not of printable ASCII without spaces");
+  const std::string& type = required_header(request, "x-class");
+  const auto op_type =
+      std::find_if(settings.op_types.begin(), settings.op_types.end(),
+                   [&](const config::OpTypeSettings& candidate) { return candidate.name == type; });
+  if (op_type == settings.op_types.end()) reject("x-class: unknown");
+  out.op_type = static_cast<int>(op_type - settings.op_types.begin());
+  // A customer that the settings do not list has no share of its own that it could exceed.
+  if (const std::string* name = request.header("x-tenant"); name != nullptr) {
+    const auto customer = std::find(settings.customers.begin(), settings.customers.end(), *name);
+    if (customer != settings.customers.end())
+      out.customer = static_cast<int>(customer - settings.customers.begin());
   }
-  const auto patience = number<std::int64_t>(header(from, "x-deadline-ms"), 10);
-  if (!patience || *patience <= 0 || *patience > kLongestPatience)
-    refuse("x-deadline-ms: not whole milliseconds above 0");
-  out.client_timeout = std::chrono::milliseconds(*patience);
-  if (const std::string* mark = from.header("x-retry"); mark != nullptr) out.is_client_retry = *mark == "1";
-  const json body = config::parse(from.body);
-  for (const json& one : config::array(body, "slices")) out.parts.push_back(piece(one, settings));
-  if (out.parts.empty()) refuse("slices: empty");
+  const auto timeout_ms = parse_number<std::int64_t>(required_header(request, "x-deadline-ms"), 10);
+  if (!timeout_ms || *timeout_ms <= 0 || *timeout_ms > kMaxTimeoutMs)
+    reject("x-deadline-ms: not a whole number from 1 to 3600000");
+  out.client_timeout = std::chrono::milliseconds(*timeout_ms);
+  if (const std::string* retry = request.header("x-retry"); retry != nullptr)
+    out.is_client_retry = *retry == "1";
+  const json body = config::parse(request.body);
+  for (const json& item : config::array(body, "slices")) out.parts.push_back(parse_part(item, settings));
+  if (out.parts.empty()) reject("slices: empty");
   std::vector<int> shards;
-  double masses = 0;
-  for (const Part& one : out.parts) {
-    shards.push_back(one.shard);
-    masses += one.weight;
+  double total_weight = 0;
+  for (const Part& part : out.parts) {
+    shards.push_back(part.shard);
+    total_weight += part.weight;
   }
-  // An answer would be called whole, or never become so, by shares that are not shares of one whole.
-  if (std::abs(masses - 1) > kRounding) refuse("mass: the parts' do not add up to 1");
+  // With any other sum, an answer would count as complete too early, or never.
+  if (std::abs(total_weight - 1) > kMassTolerance) reject("mass: the parts' masses do not add up to 1");
   std::sort(shards.begin(), shards.end());
-  if (std::adjacent_find(shards.begin(), shards.end()) != shards.end()) refuse("slices: a shard comes twice");
+  if (std::adjacent_find(shards.begin(), shards.end()) != shards.end()) reject("slices: duplicate shard");
   out.text = std::make_shared<const std::string>(config::text(body, "filter"));
   return out;
 }
 
-// Bytes of a value go into the JSON as they are, but for what would end or break the string.
-void quote(std::string& out, std::string_view text) {
+// Appends a JSON string. Escapes only the bytes that would end or break it; all others are copied unchanged.
+void append_quoted(std::string& out, std::string_view text) {
   out += '"';
   for (const char c : text) {
     if (c == '"' || c == '\\') {
@@ -119,31 +128,31 @@
 
 }  // namespace
 
-std::variant<Multiget, RequestError> parse_multiget(const net::HttpMessage& from,
+std::variant<Multiget, RequestError> parse_multiget(const net::HttpMessage& request,
                                                     const config::ServiceSettings& settings) {
   try {
-    return read(from, settings);
-  } catch (const Wrong& wrong) {
-    return wrong.complaint;
-  } catch (const BadInput& wrong) {
-    return RequestError{400, wrong.what()};
+    return parse(request, settings);
+  } catch (const RejectedRequest& rejected) {
+    return rejected.error;
+  } catch (const BadInput& error) {
+    return RequestError{400, error.what()};
   }
 }
 
-std::string answer_body(bool whole, const std::vector<Value>& values) {
-  std::string out = whole ? "{\"entire\":true,\"items\":[" : "{\"entire\":false,\"items\":[";
+std::string answer_body(bool complete, const std::vector<Value>& values) {
+  std::string out = complete ? "{\"entire\":true,\"items\":[" : "{\"entire\":false,\"items\":[";
   for (const Value& value : values) {
     if (&value != &values.front()) out += ',';
     out += "{\"slice\":" + std::to_string(value.shard) + ",\"body\":";
-    quote(out, value.body);
+    append_quoted(out, value.body);
     out += '}';
   }
   return out += "]}";
 }
 
-std::string answer_text(int status, std::string_view body, bool stays, Duration come_back) {
-  const bool json = status == 200 && body.starts_with('{');
-  return net::answer_text(status, json ? "application/json" : "text/plain", body, stays, come_back);
+std::string answer_text(int status, std::string_view body, bool keep_alive, Duration retry_after) {
+  const bool is_json = status == 200 && body.starts_with('{');
+  return net::answer_text(status, is_json ? "application/json" : "text/plain", body, keep_alive, retry_after);
 }
 
 }  // namespace marbledyke::clients
--- a/src/clients/multiget_request.h
+++ b/src/clients/multiget_request.h
@@ -1,4 +1,4 @@
-// A client's multiget, read from its HTTP request; and the answer's body.
+// Parses a client's multiget from its HTTP request and formats the response.
 #pragma once
 
 #include <string>
@@ -17,17 +17,19 @@
 using front::Part;
 using front::Value;
 
+// Why a request was rejected: the HTTP status and a message that names the header or field at fault.
 struct RequestError {
   int status = 400;
   std::string reason;
 };
 
-std::variant<Multiget, RequestError> parse_multiget(const net::HttpMessage& from,
+std::variant<Multiget, RequestError> parse_multiget(const net::HttpMessage& request,
                                                     const config::ServiceSettings& settings);
 
-std::string answer_body(bool whole, const std::vector<Value>& values);
+// Formats the JSON body of an answer. Values are copied byte by byte, apart from the escapes that JSON needs.
+std::string answer_body(bool complete, const std::vector<Value>& values);
 
-// A whole HTTP answer; come_back of zero gives no advice.
-std::string answer_text(int status, std::string_view body, bool stays, Duration come_back = {});
+// Formats a complete HTTP response. A `retry_after` of zero adds no Retry-After header.
+std::string answer_text(int status, std::string_view body, bool keep_alive, Duration retry_after = {});
 
 }  // namespace marbledyke::clients
--- a/src/config/fields.cpp
+++ b/src/config/fields.cpp
@@ -10,11 +10,11 @@
   return out;
 }
 
-const json& required(const json& from, const char* field) {
-  if (!from.is_object()) throw BadInput(std::string(field) + ": its holder is not an object");
-  const auto at = from.find(field);
-  if (at == from.end() || at->is_null()) throw BadInput(std::string(field) + ": missing");
-  return *at;
+const json& required(const json& parent, const char* field) {
+  if (!parent.is_object()) throw BadInput(std::string(field) + ": the enclosing value is not an object");
+  const auto found = parent.find(field);
+  if (found == parent.end() || found->is_null()) throw BadInput(std::string(field) + ": missing");
+  return *found;
 }
 
 double number(const json& value, const char* field) {
@@ -24,34 +24,34 @@
   return out;
 }
 
-double number_or(const json& from, const char* field, double otherwise) {
-  return from.contains(field) && !from[field].is_null() ? number(from[field], field) : otherwise;
+double number_or(const json& parent, const char* field, double fallback) {
+  return parent.contains(field) && !parent[field].is_null() ? number(parent[field], field) : fallback;
 }
 
-std::int64_t integer(const json& from, const char* field) {
-  const json& value = required(from, field);
+std::int64_t integer(const json& parent, const char* field) {
+  const json& value = required(parent, field);
   if (!value.is_number_integer()) throw BadInput(std::string(field) + ": not a whole number");
   return value.get<std::int64_t>();
 }
 
-std::int64_t integer_or(const json& from, const char* field, std::int64_t otherwise) {
-  return from.contains(field) && !from[field].is_null() ? integer(from, field) : otherwise;
+std::int64_t integer_or(const json& parent, const char* field, std::int64_t fallback) {
+  return parent.contains(field) && !parent[field].is_null() ? integer(parent, field) : fallback;
 }
 
-const std::string& text(const json& from, const char* field) {
-  const json& value = required(from, field);
+const std::string& text(const json& parent, const char* field) {
+  const json& value = required(parent, field);
   if (!value.is_string()) throw BadInput(std::string(field) + ": not a string");
   return value.get_ref<const std::string&>();
 }
 
-const json& array(const json& from, const char* field) {
-  const json& value = required(from, field);
+const json& array(const json& parent, const char* field) {
+  const json& value = required(parent, field);
   if (!value.is_array()) throw BadInput(std::string(field) + ": not an array");
   return value;
 }
 
-const json& object(const json& from, const char* field) {
-  const json& value = required(from, field);
+const json& object(const json& parent, const char* field) {
+  const json& value = required(parent, field);
   if (!value.is_object()) throw BadInput(std::string(field) + ": not an object");
   return value;
 }
@@ -61,8 +61,8 @@
   if (value.is_object()) {
     for (const auto& [key, inner] : value.items()) flatten(inner, prefix + key, into);
   } else if (value.is_array()) {
-    std::size_t place = 0;
-    for (const json& inner : value) flatten(inner, prefix + std::to_string(place++), into);
+    std::size_t index = 0;
+    for (const json& inner : value) flatten(inner, prefix + std::to_string(index++), into);
   } else if (value.is_boolean()) {
     into[name] = value.get<bool>();
   } else if (value.is_number()) {
--- a/src/config/file_error.h
+++ b/src/config/file_error.h
@@ -1,4 +1,4 @@
-// What is wrong with a file: where, about what, and why.
+// An error found in an input file, and the line that reports it.
 #pragma once
 
 #include <string>
@@ -6,17 +6,17 @@
 namespace marbledyke::config {
 
 struct FileError {
-  int line = 0;  // 0: the file as a whole
-  std::string element;
+  int line = 0;         // 1-based; 0 if the error concerns the file as a whole
+  std::string element;  // name of the element or key at fault; may be empty
   std::string reason;
 };
 
-// FILE:LINE: ELEMENT: REASON
-inline std::string format_error(const std::string& file, const FileError& fault) {
+// Returns "FILE:LINE: ELEMENT: REASON". The line and the element are left out where the error has none.
+inline std::string format_error(const std::string& file, const FileError& error) {
   std::string out = file;
-  if (fault.line > 0) out += ':' + std::to_string(fault.line);
-  if (!fault.element.empty()) out += ": " + fault.element;
-  return out + ": " + fault.reason;
+  if (error.line > 0) out += ':' + std::to_string(error.line);
+  if (!error.element.empty()) out += ": " + error.element;
+  return out + ": " + error.reason;
 }
 
 }  // namespace marbledyke::config
--- a/src/config/gatherer_config.cpp
+++ b/src/config/gatherer_config.cpp
@@ -14,37 +14,44 @@
 
 namespace {
 
-// The environment stands in for a key that the file leaves out.
-std::string told(const json& from, const char* key, const char* variable) {
-  if (from.contains(key)) return text(from, key);
+constexpr double kMaxDurationUs = 1e12;
+constexpr std::int64_t kMinSockets = 32, kMaxSockets = 1'000'000;
+constexpr std::size_t kMaxSeedDigits = 16;  // of a 64-bit number in hexadecimal
+
+// Returns the value of a key, or of an environment variable if the configuration leaves the key out.
+std::string text_or_variable(const json& config, const char* key, const char* variable) {
+  if (config.contains(key)) return text(config, key);
   const char* value = std::getenv(variable);
   if (value == nullptr || *value == '\0') throw BadInput(std::string(key) + ": missing");
   return value;
 }
 
-net::Address address(const std::string& value, const char* key) {
+// Parses an address with a port; sockets of the local family are refused.
+net::Address parse_network_address(const std::string& value, const char* key) {
   const auto out = net::parse_address(value);
   if (!out || out->family() == net::Family::local)
     throw BadInput(std::string(key) + ": not an address with a port: " + value);
   return *out;
 }
 
-// The settings under the names they are given by; each must be there, in its type and its range.
-class Reader {
+// Reads required settings by name. Throws std::invalid_argument, with the name, if one is missing, has the
+// wrong type or is out of range.
+class SettingsReader {
  public:
-  explicit Reader(const Terms& terms) : contract_(terms) {}
+  explicit SettingsReader(const Terms& terms) : contract_(terms) {}
 
-  double number(const std::string& name, double least, double most) const {
+  double number(const std::string& name, double min, double max) const {
     if (!contract_.has(name)) Contract::refuse(name, "missing");
-    const double value = contract_.at_least(name, 0, least);
-    if (value > most) Contract::refuse(name, "is too large");
+    const double value = contract_.at_least(name, 0, min);
+    if (value > max) Contract::refuse(name, "is too large");
     return value;
   }
-  int count(const std::string& name, double least = 1, double most = 1e6) const {
-    return static_cast<int>(number(name, least, most));
+  int count(const std::string& name, double min = 1, double max = 1e6) const {
+    return static_cast<int>(number(name, min, max));
   }
-  Duration time(const std::string& name) const {
-    return Duration(static_cast<std::int64_t>(number(name, 1, 1e12)));
+  // Settings state durations in microseconds.
+  Duration duration(const std::string& name) const {
+    return Duration(static_cast<std::int64_t>(number(name, 1, kMaxDurationUs)));
   }
   bool has(const std::string& name) const { return contract_.has(name); }
   bool flag(const std::string& name) const { return contract_.flag(name, false); }
@@ -52,6 +59,7 @@
     if (!contract_.has(name)) Contract::refuse(name, "missing");
     return contract_.word(name, "");
   }
+  // Returns `field` of each entry of a list, up to the first entry that does not have it.
   std::vector<std::string> words(const std::string& list, const std::string& field) const {
     std::vector<std::string> out;
     for (;;) {
@@ -66,50 +74,54 @@
 };
 
 ServiceSettings parse_service_settings(const Terms& terms) {
-  const Reader read(terms);
+  const SettingsReader reader(terms);
   ServiceSettings out;
   for (int i = 0;; ++i) {
-    const std::string at = "categories." + std::to_string(i) + ".";
-    if (!read.has(at + "name") && !read.has(at + "deadline")) break;
-    const std::string second = "specifics.second-step." + std::to_string(i);
-    out.op_types.push_back({read.word(at + "name"),
-                            read.has(second) ? read.count(second, 0) : 0,
-                            !read.has(at + "effect") || read.word(at + "effect") == "once",
-                            read.has("specifics.class-floor." + std::to_string(i))
-                                ? read.number("specifics.class-floor." + std::to_string(i), 0, 1)
-                                : 1.0,
-                            {},
-                            read.has(at + "worth") ? read.number(at + "worth", 0, 1e300) : 1.0});
-    const std::string need = "specifics.complete-from." + std::to_string(i);
-    if (out.op_types.back().min_answer_share > (read.has(need) ? read.number(need, 0, 1) : 1.0))
-      Contract::refuse("specifics.class-floor." + std::to_string(i), "is above what a whole answer needs");
-    const Duration timeout = read.time(at + "deadline");
+    const std::string index = std::to_string(i);
+    const std::string category = "categories." + index + ".";
+    if (!reader.has(category + "name") && !reader.has(category + "deadline")) break;
+    const std::string second_step = "specifics.second-step." + index;
+    const std::string class_floor = "specifics.class-floor." + index;
+    out.op_types.push_back(
+        {reader.word(category + "name"),
+         reader.has(second_step) ? reader.count(second_step, 0) : 0,
+         !reader.has(category + "effect") || reader.word(category + "effect") == "once",
+         reader.has(class_floor) ? reader.number(class_floor, 0, 1) : 1.0,
+         {},
+         reader.has(category + "worth") ? reader.number(category + "worth", 0, 1e300) : 1.0});
+    const std::string complete_from = "specifics.complete-from." + index;
+    if (out.op_types.back().min_answer_share >
+        (reader.has(complete_from) ? reader.number(complete_from, 0, 1) : 1.0))
+      Contract::refuse(class_floor, "exceeds the share that a complete answer needs");
+    const Duration timeout = reader.duration(category + "deadline");
     out.max_route_timeout = std::max(out.max_route_timeout, timeout);
-    const Duration budget = read.has(at + "objective") ? read.time(at + "objective") : timeout;
+    const Duration budget =
+        reader.has(category + "objective") ? reader.duration(category + "objective") : timeout;
     out.op_types.back().latency_budget = std::min(budget, timeout);
     out.max_latency_budget = std::max(out.max_latency_budget, out.op_types.back().latency_budget);
   }
   if (out.op_types.empty()) Contract::refuse("categories", "missing");
-  out.customers = read.words("customers", ".name");
-  out.zones = read.words("zones", "");
-  out.report_fields = read.words("telemetry.fields", "");
+  out.customers = reader.words("customers", ".name");
+  out.zones = reader.words("zones", "");
+  out.report_fields = reader.words("telemetry.fields", "");
   if (out.report_fields.size() > LoadReport{}.value.size()) Contract::refuse("telemetry.fields", "too many");
-  out.shards = read.count("specifics.slabs");
-  out.cells = read.count("specifics.sets");
-  out.max_parts_per_call = read.count("specifics.bundle-max", 1, 1024);
-  out.max_parts_per_connection = read.count("limits.streams-per-conn");
-  out.max_pending = read.count("limits.max-open");
-  out.tick = read.has("tick") ? read.time("tick") : Duration(5ms);
-  out.connect_timeout = read.time("limits.connect-timeout");
-  out.idle_timeout = read.time("limits.conn-idle");
-  if (read.flag("limits.retry-after") && read.has("limits.max-retry-after"))
-    out.max_retry_after = read.time("limits.max-retry-after");
-  out.list_polled = read.has("registry-mode") && read.word("registry-mode") == "ask";
-  out.list_poll_interval = read.has("contract.ask-every") ? read.time("contract.ask-every") : Duration(20s);
+  out.shards = reader.count("specifics.slabs");
+  out.cells = reader.count("specifics.sets");
+  out.max_parts_per_call = reader.count("specifics.bundle-max", 1, 1024);
+  out.max_parts_per_connection = reader.count("limits.streams-per-conn");
+  out.max_pending = reader.count("limits.max-open");
+  out.tick = reader.has("tick") ? reader.duration("tick") : Duration(5ms);
+  out.connect_timeout = reader.duration("limits.connect-timeout");
+  out.idle_timeout = reader.duration("limits.conn-idle");
+  if (reader.flag("limits.retry-after") && reader.has("limits.max-retry-after"))
+    out.max_retry_after = reader.duration("limits.max-retry-after");
+  out.list_polled = reader.has("registry-mode") && reader.word("registry-mode") == "ask";
+  out.list_poll_interval =
+      reader.has("contract.ask-every") ? reader.duration("contract.ask-every") : Duration(20s);
   return out;
 }
 
-log::Level log_level() {
+log::Level log_level_from_environment() {
   const char* value = std::getenv("MARBLEDYKE_LOG");
   const std::string level = value == nullptr ? "info" : value;
   if (level == "debug") return log::Level::debug;
@@ -121,37 +133,36 @@
 
 }  // namespace
 
-GathererConfig parse_gatherer_config(const std::string& text_of_it,
-                                     const std::optional<FleetSettings>& fleet) {
-  const json from = parse(text_of_it);
-  if (!from.is_object()) throw BadInput("the configuration is not an object");
+GathererConfig parse_gatherer_config(const std::string& content, const std::optional<FleetSettings>& fleet) {
+  const json config = parse(content);
+  if (!config.is_object()) throw BadInput("the configuration is not an object");
   GathererConfig out;
-  out.name = told(from, "name", "PROXY_NAME");
-  out.listen = address(told(from, "listen", "PROXY_LISTEN"), "listen");
-  out.discovery_host = told(from, "discovery", "PROXY_DISCOVERY");
-  out.discovery = address(out.discovery_host, "discovery");
-  const std::string& seed = text(from, "seed");
-  if (seed.empty() || seed.size() > 16 ||
+  out.name = text_or_variable(config, "name", "PROXY_NAME");
+  out.listen = parse_network_address(text_or_variable(config, "listen", "PROXY_LISTEN"), "listen");
+  out.discovery_host = text_or_variable(config, "discovery", "PROXY_DISCOVERY");
+  out.discovery = parse_network_address(out.discovery_host, "discovery");
+  const std::string& seed = text(config, "seed");
+  if (seed.empty() || seed.size() > kMaxSeedDigits ||
       seed.find_first_not_of("0123456789abcdefABCDEF") != std::string::npos)
     throw BadInput("seed: not up to 16 hex digits");
-  const std::uint64_t mixed = std::stoull(seed, nullptr, 16);
-  out.seed = static_cast<std::uint32_t>(mixed ^ (mixed >> 32));
-  const std::int64_t sockets = integer(object(from, "limits"), "sockets");
-  if (sockets < 32 || sockets > 1'000'000) throw BadInput("limits.sockets: out of range");
+  const std::uint64_t wide_seed = std::stoull(seed, nullptr, 16);
+  out.seed = static_cast<std::uint32_t>(wide_seed ^ (wide_seed >> 32));
+  const std::int64_t sockets = integer(object(config, "limits"), "sockets");
+  if (sockets < kMinSockets || sockets > kMaxSockets) throw BadInput("limits.sockets: out of range");
   out.max_sockets = static_cast<int>(sockets);
-  if (from.contains("known")) out.known_list = object(from, "known");
+  if (config.contains("known")) out.known_list = object(config, "known");
   if (fleet) out.settings_index = fleet->index;
   if (fleet && fleet->index != 0) out.settings_file = fleet->file;
-  const json own = out.settings_file.empty() ? object(from, "settings") : from.value("settings", json());
+  const json own = out.settings_file.empty() ? object(config, "settings") : config.value("settings", json());
   flatten(fleet ? effective_settings(*fleet, own) : own, "", out.terms);
   try {
     out.settings = parse_service_settings(out.terms);
-  } catch (const std::invalid_argument& wrong) {
-    const std::string where = out.settings_file.empty() ? "" : out.settings_file + ": ";
-    throw BadInput(where + "settings." + wrong.what());
+  } catch (const std::invalid_argument& error) {
+    const std::string prefix = out.settings_file.empty() ? "" : out.settings_file + ": ";
+    throw BadInput(prefix + "settings." + error.what());
   }
-  out.log_level = log_level();
-  out.digest = hash_text(text_of_it);
+  out.log_level = log_level_from_environment();
+  out.digest = hash_text(content);
   return out;
 }
 
--- a/src/config/gatherer_config.h
+++ b/src/config/gatherer_config.h
@@ -1,5 +1,5 @@
-// All that a gatherer is told at its start, read, checked and given defaults in this one place. A complaint
-// names the key at fault.
+// The configuration of a gatherer: parsed, validated and completed with defaults. Error messages name the key
+// at fault.
 #pragma once
 
 #include <cstdint>
@@ -15,35 +15,35 @@
 
 namespace marbledyke::config {
 
-// An op type as far as the program itself needs it; what it is worth is the module's matter.
+// What the I/O code needs to know of an op type. The decision module reads the rest from the terms itself.
 struct OpTypeSettings {
   std::string name;
-  int second_step_parts = 0;    // parts that a first answer is followed by
-  bool non_retriable = false;   // what may have run is never sent again
-  double min_answer_share = 1;  // least share of parts for any answer
-  Duration latency_budget{};    // latency budget
+  int second_step_parts = 0;    // number of parts in the step that follows a first answer; 0: a single step
+  bool non_retriable = false;   // a part that may have run is never sent again
+  double min_answer_share = 1;  // least share of returned parts for any answer
+  Duration latency_budget{};
   double importance = 1;
 };
 
-// What carrying parts and answers takes: figures of the operators' terms, none of our own.
+// The service's settings that the I/O code needs. All values come from the operators' settings.
 struct ServiceSettings {
   std::vector<OpTypeSettings> op_types;
   std::vector<std::string> customers;
   std::vector<std::string> zones;
-  std::vector<std::string> report_fields;  // the values of a load report, in the module's order
+  std::vector<std::string> report_fields;  // values of a load report, in the decision module's order
   int shards = 1;
   int cells = 1;
   int max_parts_per_call = 1;
   int max_parts_per_connection = 1;
-  int max_pending = 1;            // multigets and parts
-  Duration max_route_timeout{};   // of the op types' route timeouts
-  Duration max_latency_budget{};  // and of their latency budgets
-  Duration tick{};                // what happened less than this apart may be seen in another order
+  int max_pending = 1;            // multigets and parts together
+  Duration max_route_timeout{};   // longest route timeout of any op type
+  Duration max_latency_budget{};  // longest latency budget of any op type
+  Duration tick{};                // events less than this apart may be observed out of order
   Duration connect_timeout{};
   Duration idle_timeout{};
-  Duration max_retry_after{};     // the longest advice a refusal may carry; zero: it carries none
-  Duration list_poll_interval{};  // how long the list may go unasked
-  bool list_polled = false;       // the module decides when; else it is watched from the start
+  Duration max_retry_after{};     // upper bound of the Retry-After of a refusal; 0: refusals carry none
+  Duration list_poll_interval{};  // longest time between two requests for the list
+  bool list_polled = false;  // the decision module requests the list; false: it is watched from the start
 };
 
 struct GathererConfig {
@@ -54,20 +54,20 @@
   std::uint32_t seed = 0;
   int max_sockets = 0;
   log::Level log_level = log::Level::info;
-  json known_list;  // the list as last held, in discovery's form; null: none
+  json known_list;  // the list as last held, in discovery's format; null if there is none
   Terms terms;
   ServiceSettings settings;
-  std::uint64_t digest = 0;  // of the text it was read from
-  // The revision of the fleet's settings that `terms` are from; 0: the configuration's own. None: this
-  // process was not told to heed any.
+  std::uint64_t digest = 0;  // hash of the configuration's text
+  // Revision of the fleet settings that `terms` come from; 0 if they come from the configuration itself.
+  // Empty if the process was started without fleet settings.
   std::optional<std::int64_t> settings_index;
-  std::string
-      settings_file;  // that the revision was read from; empty where the settings are the configuration's own
+  std::string settings_file;  // file of that revision; empty if the settings come from the configuration
 };
 
-// From the text of the configuration, and the fleet's settings over it where there are any; throws BadInput.
+// Parses the text of a configuration; fleet settings take precedence over its own. Environment variables
+// stand in for some missing keys. Throws BadInput.
 GathererConfig parse_gatherer_config(const std::string& text, const std::optional<FleetSettings>& fleet = {});
-// From the files that the environment names.
+// Loads the configuration from the files named by PROXY_CONFIG and MARBLEDYKE_SETTINGS. Throws BadInput.
 GathererConfig load_gatherer_config();
 
 }  // namespace marbledyke::config
--- a/src/gatherer/gatherer.cpp
+++ b/src/gatherer/gatherer.cpp
@@ -14,43 +14,46 @@
 
 using namespace std::chrono_literals;
 
-// New connections keep coming for up to 0.4 s after a planned stop begins, by the protocol.
-constexpr Duration kStillComing = 400ms;
-// And the end by force no sooner than the longest route timeout, taken as this where it is longer, and so
-// much more.
-constexpr Duration kLongestStop = 3s;
-constexpr Duration kBeforeForce = 700ms;
-// Of that so much is kept for the last answers' way: the signal may be read late, an answer waits up to
-// kSlack and a tick for sends that are under way, and then it has to be written.
-constexpr Duration kLastAnswers = 200ms;
-// And of these so much for answers that clients have not read yet: the end of the process would cut them.
-constexpr Duration kSlowReaders = 150ms;
-// The protocol's limits are so much longer on sockets; that long a send may be under way.
-constexpr Duration kSlack = 50ms;
-// Later than that what was due may miss a latency budget; an ordinary turn takes well under a millisecond.
-constexpr Duration kLongTurn = 20ms;
-// What this program itself holds open: three standard streams, epoll, signals, the listener, discovery twice,
-// a file that is read again.
+// By the protocol, clients open new connections for up to this long after a planned stop begins.
+constexpr Duration kNewConnectionsPeriod = 400ms;
+// The forced end comes no earlier than the longest route timeout, with this as its upper limit, plus
+// kForcedEndMargin.
+constexpr Duration kMaxStopTimeout = 3s;
+constexpr Duration kForcedEndMargin = 700ms;
+// Time before the forced end that is reserved for the last answers: the signal may be read late, an answer
+// waits up to kSocketTolerance and a tick for sends under way, and then it has to be written.
+constexpr Duration kLastAnswersReserve = 200ms;
+// Part of that time, for answers that clients have not read completely: the end of the process would truncate
+// them.
+constexpr Duration kSlowReadersReserve = 150ms;
+// The protocol's limits are longer by this on sockets; a send may be under way for this long.
+constexpr Duration kSocketTolerance = 50ms;
+// Turns longer than this are logged, since what was due meanwhile may miss a latency budget. An ordinary turn
+// takes well under a millisecond.
+constexpr Duration kLongTurnThreshold = 20ms;
+// Descriptors of the process itself: three standard streams, epoll, signals, the listener, two connections to
+// discovery, and a file that is read again.
 constexpr int kOwnDescriptors = 9;
 
-// The descriptors left for clients beside those that each listed server may need.
-std::size_t client_room(const config::GathererConfig& gatherer_config, std::size_t listed) {
-  const int left =
+// Returns the number of descriptors for clients: those that the listed servers do not need, but at least half
+// of all.
+std::size_t client_descriptors(const config::GathererConfig& gatherer_config, std::size_t listed) {
+  const int remaining =
       gatherer_config.max_sockets - kOwnDescriptors - servers::kFewLinks * static_cast<int>(listed);
-  return static_cast<std::size_t>(std::max(left, gatherer_config.max_sockets / 2));
+  return static_cast<std::size_t>(std::max(remaining, gatherer_config.max_sockets / 2));
 }
 
-std::size_t known_servers(const config::GathererConfig& gatherer_config) {
+std::size_t known_server_count(const config::GathererConfig& gatherer_config) {
   return gatherer_config.known_list.is_object() && gatherer_config.known_list.contains("endpoints")
              ? gatherer_config.known_list["endpoints"].size()
              : 0;
 }
 
-list::News read_known(const config::GathererConfig& gatherer_config, Duration unix_start) {
+list::News parse_known_list(const config::GathererConfig& gatherer_config, Duration unix_start) {
   try {
     return list::read_news(gatherer_config.known_list, gatherer_config.settings, unix_start);
-  } catch (const config::BadInput& wrong) {
-    throw config::BadInput(std::string("known.") + wrong.what());
+  } catch (const config::BadInput& error) {
+    throw config::BadInput(std::string("known.") + error.what());
   }
 }
 
@@ -65,63 +68,65 @@
       choice_(gatherer_config.terms, gatherer_config.seed),
       servers_(loop_, gatherer_config.settings, gatherer_config.seed,
                [this] { return release_connection(); }),
-      clients_(loop_, gatherer_config.settings, gatherer_config.listen,
-               client_room(gatherer_config, known_servers(gatherer_config)), std::move(listening)),
-      watch_(loop_, gatherer_config, unix_start_,
-             {[this](list::News news) { news_.push_back(std::move(news)); },
-              [this](Duration most_backoff) { refusals_.push_back(most_backoff); }}),
-      hand_(static_cast<std::size_t>(gatherer_config.settings.max_pending)) {
-  loop_.tell_long_turns(kLongTurn, [this](const net::Loop::Turn& turn) {
-    long_turns_.write({{"ms", turn.took / 1ms}, {"processor_ms", turn.processor / 1ms}, {"in_hand", open_}});
+      http_front_(loop_, gatherer_config.settings, gatherer_config.listen,
+                  client_descriptors(gatherer_config, known_server_count(gatherer_config)),
+                  std::move(listening)),
+      list_watch_(loop_, gatherer_config, unix_start_,
+                  {[this](list::News news) { list_updates_.push_back(std::move(news)); },
+                   [this](Duration most_backoff) { list_refusals_.push_back(most_backoff); }}),
+      pending_(static_cast<std::size_t>(gatherer_config.settings.max_pending)) {
+  loop_.tell_long_turns(kLongTurnThreshold, [this](const net::Loop::Turn& turn) {
+    long_turn_event_.write(
+        {{"ms", turn.took / 1ms}, {"processor_ms", turn.processor / 1ms}, {"in_hand", unanswered_}});
   });
   choice_.clock(loop_.now());
   if (gatherer_config.known_list.is_object()) {
-    list::News known = read_known(gatherer_config, unix_start_);
+    list::News known = parse_known_list(gatherer_config, unix_start_);
     known.whole = true;
     servers_.listed(known);
     choice_.list_opens(true, true);
     for (const list::Entry& entry : known.entries) choice_.list_row(entry.row);
     choice_.list_closes();
-    watch_.held(known.index);
+    list_watch_.held(known.index);
     log::event(log::Level::info, "list.remembered",
                {{"servers", known.entries.size()}, {"version", known.index}, {"left_out", known.skipped}});
-    done_.unreadable += static_cast<std::uint64_t>(known.skipped);
+    counters_.unreadable_entries += static_cast<std::uint64_t>(known.skipped);
   }
-  if (!gatherer_config.settings.list_polled) watch_.ask(true);
+  if (!gatherer_config.settings.list_polled) list_watch_.ask(true);
 }
 
 void Gatherer::add(std::unique_ptr<front::Front> front) {
   fronts_.push_back(front.get());
-  more_fronts_.push_back(std::move(front));
+  extra_fronts_.push_back(std::move(front));
 }
 
 void Gatherer::add(std::unique_ptr<carrier::Carrier> carrier) {
   if (gatherer_config_.known_list.is_object()) {
-    list::News known = read_known(gatherer_config_, unix_start_);
+    list::News known = parse_known_list(gatherer_config_, unix_start_);
     known.whole = true;
     carrier->listed(known);
   }
   carriers_.push_back(std::move(carrier));
 }
 
-carrier::Carrier* Gatherer::carrier_of(std::string_view server) {
-  const auto at =
-      std::find_if(carriers_.begin(), carriers_.end(), [&](const auto& one) { return one->serves(server); });
+carrier::Carrier* Gatherer::carrier_for(std::string_view server) {
+  const auto at = std::find_if(carriers_.begin(), carriers_.end(),
+                               [&](const auto& carrier) { return carrier->serves(server); });
   return at == carriers_.end() ? nullptr : at->get();
 }
 
-bool Gatherer::any_news() const {
+bool Gatherer::has_events() const {
   if (std::any_of(carriers_.begin(), carriers_.end(),
                   [](const auto& one) { return !one->ended.empty() || !one->probed.empty(); }))
     return true;
-  return woken_ || !servers_.ended.empty() || !servers_.probed.empty() || !news_.empty() ||
-         !refusals_.empty() || !second_steps_.empty() ||
+  return is_wake_due_ || !servers_.ended.empty() || !servers_.probed.empty() || !list_updates_.empty() ||
+         !list_refusals_.empty() || !second_steps_to_submit_.empty() ||
          std::any_of(fronts_.begin(), fronts_.end(), [](const front::Front* one) {
            return !one->requests.empty() || !one->departed.empty();
          });
 }
 
-// The front with the most connections gives one up first.
+// Tries the front with the most connections first.
 bool Gatherer::release_connection() {
   std::vector<front::Front*> by_size = fronts_;
   std::stable_sort(by_size.begin(), by_size.end(),
@@ -130,62 +135,67 @@
                      [](front::Front* one) { return one->release_connection(); });
 }
 
-bool Gatherer::no_clients() const {
+bool Gatherer::has_no_clients() const {
   return std::all_of(fronts_.begin(), fronts_.end(), [](const front::Front* one) { return one->empty(); });
 }
 
-bool Gatherer::writing() const {
+bool Gatherer::is_writing() const {
   return std::any_of(fronts_.begin(), fronts_.end(),
                      [](const front::Front* one) { return one->is_writing(); });
 }
 
 bool Gatherer::run_once() {
-  if (any_news()) loop_.at(loop_.now(), [] {});  // what carrying out has brought up does not wait
+  if (has_events()) loop_.at(loop_.now(), [] {});  // do not wait: executing decisions caused events
   loop_.gather();
-  if (any_news()) {
-    hand_over();
-    carry_out();
+  if (has_events()) {
+    deliver_events();
+    execute_decisions();
   }
   for (front::Front* one : fronts_) one->destroy_closed();
   for (const auto& one : carriers_) one->bury();
-  if (!leave_by_ || accepting_) return true;
-  if (parting_) {
-    for (front::Front* one : fronts_) one->close_idle(loop_.now() - kStillComing);
-  }
-  // Whoever does not close by then is not waited for; whoever still reads its answer, for a moment.
-  if (open_ == 0 && loop_.now() >= *leave_by_ + (writing() ? kSlowReaders : Duration::zero())) return false;
-  return open_ > 0 || !no_clients();
+  if (!stop_deadline_ || is_accepting_) return true;
+  if (closes_after_answers_) {
+    for (front::Front* one : fronts_) one->close_idle(loop_.now() - kNewConnectionsPeriod);
+  }
+  // Clients that have not closed by then are not waited for, except briefly for those that are still reading
+  // an answer.
+  if (unanswered_ == 0 &&
+      loop_.now() >= *stop_deadline_ + (is_writing() ? kSlowReadersReserve : Duration::zero()))
+    return false;
+  return unanswered_ > 0 || !has_no_clients();
 }
 
-// Clients go on using the connections they have for as long as these stay open, and where another gatherer is
-// not back yet nobody else serves them. So these are served on for as long as what comes can still be
-// answered within its latency budget before the end by force. Harm: a stop takes longer than what is in hand
-// would need.
+// Clients use their connections as long as these stay open, and until another gatherer is back nobody else
+// serves them. So they are served as long as a new request can still be answered within its latency budget
+// before the forced end. The cost: a stop takes longer than the pending multigets alone would need.
 void Gatherer::begin_stop() {
-  if (leave_by_) return;
+  if (stop_deadline_) return;
   const config::ServiceSettings& settings = gatherer_config_.settings;
-  leave_by_ = loop_.now() + std::min(settings.max_route_timeout, kLongestStop) + kBeforeForce - kLastAnswers;
+  stop_deadline_ = loop_.now() + std::min(settings.max_route_timeout, kMaxStopTimeout) + kForcedEndMargin -
+                   kLastAnswersReserve;
   for (front::Front* one : fronts_) one->announce_stop();
-  log::event(log::Level::info, "gatherer.stopping", {{"in_hand", open_}, {"clients", clients_.size()}});
-  loop_.at(loop_.now() + kStillComing, [this] {
-    accepting_ = false;
+  log::event(log::Level::info, "gatherer.stopping",
+             {{"in_hand", unanswered_}, {"clients", http_front_.size()}});
+  loop_.at(loop_.now() + kNewConnectionsPeriod, [this] {
+    is_accepting_ = false;
     for (front::Front* one : fronts_) one->stop_accepting();
   });
-  loop_.at(std::max(*leave_by_ - settings.max_latency_budget, loop_.now() + kStillComing), [this] {
-    parting_ = true;
-    for (front::Front* one : fronts_) one->close_after_answers();
-  });
+  loop_.at(std::max(*stop_deadline_ - settings.max_latency_budget, loop_.now() + kNewConnectionsPeriod),
+           [this] {
+             closes_after_answers_ = true;
+             for (front::Front* one : fronts_) one->close_after_answers();
+           });
 }
 
 void Gatherer::reload(const config::GathererConfig& fresh) {
   Choice(fresh.terms, fresh.seed);  // checks them before anything is changed
-  const auto waits = [](bool differs, const std::string& key) {
+  const auto warn_if_changed = [](bool differs, const std::string& key) {
     if (differs) log::event(log::Level::warning, "configuration.waits_for_start", {{"key", key}});
   };
-  waits(fresh.name != gatherer_config_.name, "name");
-  waits(fresh.listen != gatherer_config_.listen, "listen");
-  waits(fresh.max_sockets != gatherer_config_.max_sockets, "limits.sockets");
-  const bool ask_anew = renew(fresh);
+  warn_if_changed(fresh.name != gatherer_config_.name, "name");
+  warn_if_changed(fresh.listen != gatherer_config_.listen, "listen");
+  warn_if_changed(fresh.max_sockets != gatherer_config_.max_sockets, "limits.sockets");
+  const bool reload_list = apply_settings(fresh);
   gatherer_config_.digest = fresh.digest;
   if (fresh.settings_index) {
     log::event(log::Level::info, "configuration.read_again",
@@ -193,23 +203,23 @@
   } else {
     log::event(log::Level::info, "configuration.read_again", {{"discovery", fresh.discovery_host}});
   }
-  if (fresh.discovery != discovery_ || ask_anew) watch_.move(fresh.discovery, fresh.discovery_host);
+  if (fresh.discovery != discovery_ || reload_list) list_watch_.move(fresh.discovery, fresh.discovery_host);
   discovery_ = fresh.discovery;
 }
 
-// The settings change between two turns, at once for the module and for all that carries out what it decides;
-// true: zones or cells have other names, so the list has to be read under these. What has been gathered was
-// read under the old settings and is handed over first.
-bool Gatherer::renew(const config::GathererConfig& fresh) {
-  const config::ServiceSettings& to = fresh.settings;
-  config::ServiceSettings& from = gatherer_config_.settings;
+// Changes the settings between two turns, at the same time for the decision module and for the code that
+// executes its decisions. Returns whether zones or cells changed, so that the list must be read again. Events
+// collected before were read under the old settings and are delivered first.
+bool Gatherer::apply_settings(const config::GathererConfig& fresh) {
+  const config::ServiceSettings& new_settings = fresh.settings;
+  config::ServiceSettings& current = gatherer_config_.settings;
   std::size_t changed = 0;
-  const Terms& present = gatherer_config_.terms;
-  for (const auto* terms : {&fresh.terms, &present}) {
-    const Terms& others = terms == &fresh.terms ? present : fresh.terms;
+  const Terms& current_terms = gatherer_config_.terms;
+  for (const auto* terms : {&fresh.terms, &current_terms}) {
+    const Terms& other_terms = terms == &fresh.terms ? current_terms : fresh.terms;
     for (const auto& [name, term] : *terms) {
-      const auto at = others.find(name);
-      if (at != others.end() && (terms != &fresh.terms || at->second == term)) continue;
+      const auto at = other_terms.find(name);
+      if (at != other_terms.end() && (terms != &fresh.terms || at->second == term)) continue;
       log::event(log::Level::info, "configuration.setting_changes", {{"key", "settings." + name}});
       changed += 1;
     }
@@ -218,33 +228,36 @@
     gatherer_config_.settings_index = fresh.settings_index;
     return false;
   }
-  const auto same = [](const config::OpTypeSettings& a, const config::OpTypeSettings& b) {
+  const auto has_same_steps_and_retries = [](const config::OpTypeSettings& a,
+                                             const config::OpTypeSettings& b) {
     return a.name == b.name && a.non_retriable == b.non_retriable &&
            a.second_step_parts == b.second_step_parts && a.min_answer_share == b.min_answer_share;
   };
-  if (!more_fronts_.empty() &&
-      !std::equal(to.op_types.begin(), to.op_types.end(), from.op_types.begin(), from.op_types.end(), same)) {
-    // Result sets that are open hang on them.
+  if (!extra_fronts_.empty() &&
+      !std::equal(new_settings.op_types.begin(), new_settings.op_types.end(), current.op_types.begin(),
+                  current.op_types.end(), has_same_steps_and_retries)) {
+    // Open result sets depend on these settings.
     log::event(log::Level::warning, "configuration.waits_for_start", {{"key", "settings"}});
     return false;
   }
-  hand_over();
-  carry_out();
+  deliver_events();
+  execute_decisions();
   choice_.renew(fresh.terms);
-  const bool ask_anew = to.zones != from.zones || to.cells != from.cells;
-  if (ask_anew) servers_.renumber_zones(from.zones, to.zones);
-  const bool pushed_now = from.list_polled && !to.list_polled;
+  const bool reload_list = new_settings.zones != current.zones || new_settings.cells != current.cells;
+  if (reload_list) servers_.renumber_zones(current.zones, new_settings.zones);
+  const bool becomes_pushed = current.list_polled && !new_settings.list_polled;
   gatherer_config_.terms = fresh.terms;
   gatherer_config_.settings_index = fresh.settings_index;
-  from = to;
-  if (pushed_now) watch_.ask(true);
+  current = new_settings;
+  if (becomes_pushed) list_watch_.ask(true);
   if (fresh.settings_index) {
     log::event(log::Level::info, "configuration.settings_taken",
-               {{"changed", changed}, {"in_hand", open_}, {"settings_index", *fresh.settings_index}});
+               {{"changed", changed}, {"in_hand", unanswered_}, {"settings_index", *fresh.settings_index}});
   } else {
-    log::event(log::Level::info, "configuration.settings_taken", {{"changed", changed}, {"in_hand", open_}});
+    log::event(log::Level::info, "configuration.settings_taken",
+               {{"changed", changed}, {"in_hand", unanswered_}});
   }
-  return ask_anew;
+  return reload_list;
 }
 
 void Gatherer::apply_operator_terms(const operator_file::Terms& terms) {
@@ -255,91 +268,91 @@
   for (const auto& one : carriers_) one->configure(terms.servers);
 }
 
-// ---- hand over ----
+// ---- events to the decision module ----
 
-void Gatherer::hand_over() {
-  woken_ = false;
+void Gatherer::deliver_events() {
+  is_wake_due_ = false;
   choice_.clock(loop_.now());
-  for (list::News& news : std::exchange(news_, {})) list_came(std::move(news));
-  for (const Duration most_backoff : std::exchange(refusals_, {})) {
+  for (list::News& news : std::exchange(list_updates_, {})) on_list_update(std::move(news));
+  for (const Duration most_backoff : std::exchange(list_refusals_, {})) {
     choice_.list_refused(most_backoff);
-    // Where the list is pushed nobody decides to ask for it; the connection that brings it is kept up here.
+    // Where the list is pushed, the decision module never requests it, so the connection is reopened here.
     if (!gatherer_config_.settings.list_polled)
-      loop_.at(loop_.now() + list::kAgentBackoff, [this] { watch_.ask(true); });
+      loop_.at(loop_.now() + list::kAgentBackoff, [this] { list_watch_.ask(true); });
   }
-  for (servers::Ended& ended : std::exchange(servers_.ended, {})) sent_back(ended);
+  for (servers::Ended& ended : std::exchange(servers_.ended, {})) on_send_ended(ended);
   for (const servers::Probed& probed : std::exchange(servers_.probed, {}))
     choice_.probe_ended(probed.server, probed.fate, probed.elapsed, probed.report);
   for (const auto& one : carriers_) {
-    for (servers::Ended& ended : std::exchange(one->ended, {})) sent_back(ended);
+    for (servers::Ended& ended : std::exchange(one->ended, {})) on_send_ended(ended);
     for (const servers::Probed& probed : std::exchange(one->probed, {}))
       choice_.probe_ended(probed.server, probed.fate, probed.elapsed, probed.report);
   }
-  for (const Rid& id : std::exchange(second_steps_, {})) {
-    const int place = hand_.find(id);
-    if (place >= 0 && !hand_.at(place).over) hand_parts(hand_.at(place));
+  for (const Rid& id : std::exchange(second_steps_to_submit_, {})) {
+    const int place = pending_.find(id);
+    if (place >= 0 && !pending_.at(place).is_answered) submit_parts(pending_.at(place));
   }
-  if (leave_by_ && loop_.now() >= *leave_by_) fail_what_outlasts_stop();
+  if (stop_deadline_ && loop_.now() >= *stop_deadline_) fail_remaining_at_stop();
   for (std::size_t i = 0; i < fronts_.size(); ++i) {
-    for (front::Request& asked : std::exchange(fronts_[i]->requests, {})) take(i, asked);
-    for (const std::uint64_t caller : std::exchange(fronts_[i]->departed, {})) left(i, caller);
+    for (front::Request& request : std::exchange(fronts_[i]->requests, {})) on_multiget_received(i, request);
+    for (const std::uint64_t caller : std::exchange(fronts_[i]->departed, {})) on_client_left(i, caller);
   }
 }
 
-void Gatherer::left(std::size_t front, std::uint64_t caller) {
+void Gatherer::on_client_left(std::size_t front, std::uint64_t caller) {
   const auto at = by_caller_.find({front, caller});
   if (at == by_caller_.end()) return;
   const Rid id = at->second;
   by_caller_.erase(at);
-  InHand& mg = hand_.at(hand_.find(id));
+  PendingMultiget& mg = pending_.at(pending_.find(id));
   mg.caller = 0;
-  over(mg);
-  done_.left += 1;
-  if (totals::OpTypeCounts* count = counted(mg)) count->left += 1;
+  mark_answered(mg);
+  counters_.client_left += 1;
+  if (totals::OpTypeCounts* count = op_type_counts(mg)) count->left += 1;
   log::event(log::Level::debug, "multiget.ended",
-             {{"multiget", mg.wire_id}, {"caller", caller}, {"how", "client_left"}});
+             {{"multiget", mg.request_id}, {"caller", caller}, {"how", "client_left"}});
   choice_.client_left(id);
-  give_back(mg);
+  release_if_finished(mg);
 }
 
-// What was taken before a planned stop may have a later time than the end by force; the module was told that
-// one, and a client that gets nothing learns of the end from a reset. Harm: where the end by force comes
-// later, some of it could still have been answered.
-void Gatherer::fail_what_outlasts_stop() {
+// Multigets accepted before a planned stop may have a later deadline than the forced end: the decision module
+// was given that one, and a client without an answer would only see a reset. The cost: if the forced end
+// comes later than assumed, some of them could still have been answered.
+void Gatherer::fail_remaining_at_stop() {
   const auto all = by_caller_;
   for (const auto& [caller, id] : all) {
-    InHand& mg = hand_.at(hand_.find(id));
-    if (mg.until <= *leave_by_) continue;
+    PendingMultiget& mg = pending_.at(pending_.find(id));
+    if (mg.deadline <= *stop_deadline_) continue;
     by_caller_.erase(caller);
     mg.caller = 0;
-    over(mg);
-    done_.failed += 1;
-    if (totals::OpTypeCounts* count = counted(mg)) count->failed += 1;
+    mark_answered(mg);
+    counters_.failed += 1;
+    if (totals::OpTypeCounts* count = op_type_counts(mg)) count->failed += 1;
     log::event(log::Level::debug, "multiget.ended",
-               {{"multiget", mg.wire_id}, {"caller", caller.second}, {"how", "stopped"}});
+               {{"multiget", mg.request_id}, {"caller", caller.second}, {"how", "stopped"}});
     fronts_[caller.first]->refuse(caller.second, front::Refusal::failed, {});
     choice_.client_left(id);
-    give_back(mg);
+    release_if_finished(mg);
   }
 }
 
-// Nothing is sent for it any more: what still waits for its connection is never written, also where the terms
-// do not let a send be cancelled that was.
-void Gatherer::over(InHand& mg) {
-  mg.over = true;
-  --open_;
-  for (std::size_t i = 0; i < mg.pieces.size() && mg.out > 0; ++i) {
+// Marks a multiget as answered. Its sends that still wait for a connection are never written, even if the
+// settings do not allow cancelling sends that were.
+void Gatherer::mark_answered(PendingMultiget& mg) {
+  mg.is_answered = true;
+  --unanswered_;
+  for (std::size_t i = 0; i < mg.parts.size() && mg.sends_out > 0; ++i) {
     const Rid part = part_id(mg.id, i);
-    for (int send = 0; send < mg.pieces[i].sent; ++send) servers_.unsend(part, send);
+    for (int send = 0; send < mg.parts[i].sends; ++send) servers_.unsend(part, send);
   }
 }
 
-void Gatherer::list_came(list::News&& news) {
+void Gatherer::on_list_update(list::News&& news) {
   servers_.listed(news);
   for (const auto& one : carriers_) one->listed(news);
   choice_.list_opens(news.whole, false);
-  // A whole list says nothing of a server whose entry cannot be read: the module is told again what it was
-  // told last.
+  // A complete list has no information on a server whose entry cannot be parsed, so the decision module is
+  // given the server's last known entry again.
   std::size_t kept = 0;
   for (const std::string& name : news.unreadable) {
     const ListRow* const last = news.whole ? servers_.last_row(name) : nullptr;
@@ -347,7 +360,7 @@
     choice_.list_row(*last);
     kept += 1;
   }
-  done_.unreadable += static_cast<std::uint64_t>(news.skipped);
+  counters_.unreadable_entries += static_cast<std::uint64_t>(news.skipped);
   for (const list::Entry& entry : news.entries) {
     choice_.list_row(entry.row);
     log::event(log::Level::debug, "list.server",
@@ -357,130 +370,130 @@
                                                                         : "gone"}});
   }
   choice_.list_closes();
-  clients_.room(client_room(gatherer_config_, servers_.servers_listed()));
+  http_front_.set_max_descriptors(client_descriptors(gatherer_config_, servers_.servers_listed()));
   if (!news.entries.empty())
     log::event(
         log::Level::info, "list.came",
         {{"version", news.index}, {"entries", news.entries.size()}, {"whole", news.whole}, {"kept", kept}});
 }
 
-// The module's ids: eight digits of the multiget's number, four zeros, and four of the part's place, 0 for
-// the multiget itself.
-Rid Gatherer::part_id(const Rid& multiget, std::size_t piece) const {
+// Ids for the decision module: eight hexadecimal digits of the multiget's number, four zeros, and four digits
+// of the part's index plus one, which are 0 for the multiget itself.
+Rid Gatherer::part_id(const Rid& multiget, std::size_t part_index) const {
   Rid out = multiget;
   char digits[5];
-  std::snprintf(digits, sizeof digits, "%04zx", (piece + 1) & 0xffff);
+  std::snprintf(digits, sizeof digits, "%04zx", (part_index + 1) & 0xffff);
   std::copy_n(digits, 4, out.text.begin() + 12);
   return out;
 }
 
-Gatherer::InHand* Gatherer::hand_of(const Rid& part, std::size_t* piece) {
+Gatherer::PendingMultiget* Gatherer::find_pending(const Rid& part, std::size_t* part_index) {
   Rid id = part;
   std::fill_n(id.text.begin() + 12, 4, '0');
-  const int place = hand_.find(id);
+  const int place = pending_.find(id);
   if (place < 0) return nullptr;
-  if (piece != nullptr) {
+  if (part_index != nullptr) {
     std::size_t number = 0;
     std::from_chars(part.text.data() + 12, part.text.data() + 16, number, 16);
-    *piece = number - 1;
-    if (number == 0 || *piece >= hand_.at(place).pieces.size()) return nullptr;
+    *part_index = number - 1;
+    if (number == 0 || *part_index >= pending_.at(place).parts.size()) return nullptr;
   }
-  return &hand_.at(place);
+  return &pending_.at(place);
 }
 
-void Gatherer::take(std::size_t from, front::Request& asked) {
-  front::Multiget& ask = asked.multiget;
-  if (held_ >= gatherer_config_.settings.max_pending) {
-    done_.no_room += 1;
-    if (record_) {
+void Gatherer::on_multiget_received(std::size_t front, front::Request& request) {
+  front::Multiget& multiget = request.multiget;
+  if (pending_count_ >= gatherer_config_.settings.max_pending) {
+    counters_.refused_at_capacity += 1;
+    if (recorder_) {
       totals::OpTypeCounts& count =
-          record_->window
-              .by_op_type[gatherer_config_.settings.op_types[static_cast<std::size_t>(ask.op_type)].name];
+          recorder_->window.by_op_type
+              [gatherer_config_.settings.op_types[static_cast<std::size_t>(multiget.op_type)].name];
       count.taken += 1;
       count.pushed_back += 1;
     }
-    return fronts_[from]->refuse(asked.caller, front::Refusal::at_capacity, {});
+    return fronts_[front]->refuse(request.caller, front::Refusal::at_capacity, {});
   }
-  if (by_wire_id_.contains(ask.id)) {
-    return fronts_[from]->refuse(asked.caller, front::Refusal::duplicate_id, {});
+  if (by_request_id_.contains(multiget.id)) {
+    return fronts_[front]->refuse(request.caller, front::Refusal::duplicate_id, {});
   }
   const std::uint32_t number = next_number_++;
   Rid id;
   char digits[17];
   std::snprintf(digits, sizeof digits, "%08x00000000", number);
   std::copy_n(digits, 16, id.text.begin());
-  InHand& mg = hand_.at(hand_.take(id));
-  mg.front = from;
-  mg.caller = asked.caller;
-  mg.wire_id = ask.id;
+  PendingMultiget& mg = pending_.at(pending_.take(id));
+  mg.front = front;
+  mg.caller = request.caller;
+  mg.request_id = multiget.id;
   const config::OpTypeSettings& op =
-      gatherer_config_.settings.op_types[static_cast<std::size_t>(ask.op_type)];
-  mg.second_step = op.second_step_parts;
-  mg.once = op.non_retriable;
-  if (record_) {
+      gatherer_config_.settings.op_types[static_cast<std::size_t>(multiget.op_type)];
+  mg.second_step_parts = op.second_step_parts;
+  mg.non_retriable = op.non_retriable;
+  if (recorder_) {
     mg.op_type = op.name;
-    mg.began = asked.first_byte_at;
-    mg.budget = op.latency_budget;
-    totals::OpTypeCounts& count = record_->window.by_op_type[op.name];
+    mg.first_byte_at = request.first_byte_at;
+    mg.latency_budget = op.latency_budget;
+    totals::OpTypeCounts& count = recorder_->window.by_op_type[op.name];
     count.taken += 1;
     count.importance = op.importance;
   }
-  mg.text = ask.text;
-  for (const front::Part& piece : ask.parts) {
-    mg.pieces.push_back({piece.shard, piece.weight, piece.key, piece.work_estimate, 0, false, 0, {}});
-  }
-  by_caller_[{from, asked.caller}] = id;
-  by_wire_id_[mg.wire_id] = id;
-  ++open_;
-  done_.sent += 1;
-  held_ += 1;
-  log::event(log::Level::debug, "multiget.taken", {{"multiget", mg.wire_id}, {"caller", asked.caller}});
-  const Duration client_leaves = asked.first_byte_at + ask.client_timeout;
-  mg.until = leave_by_ ? std::min(client_leaves, *leave_by_) : client_leaves;
-  choice_.multiget_taken({id, static_cast<double>(number), ask.op_type, ask.customer,
-                          static_cast<int>(mg.pieces.size()), mg.until, ask.is_client_retry});
-  hand_parts(mg);
+  mg.text = multiget.text;
+  for (const front::Part& part : multiget.parts) {
+    mg.parts.push_back({part.shard, part.weight, part.key, part.work_estimate, 0, false, 0, {}});
+  }
+  by_caller_[{front, request.caller}] = id;
+  by_request_id_[mg.request_id] = id;
+  ++unanswered_;
+  counters_.accepted += 1;
+  pending_count_ += 1;
+  log::event(log::Level::debug, "multiget.taken", {{"multiget", mg.request_id}, {"caller", request.caller}});
+  const Duration client_deadline = request.first_byte_at + multiget.client_timeout;
+  mg.deadline = stop_deadline_ ? std::min(client_deadline, *stop_deadline_) : client_deadline;
+  choice_.multiget_taken({id, static_cast<double>(number), multiget.op_type, multiget.customer,
+                          static_cast<int>(mg.parts.size()), mg.deadline, multiget.is_client_retry});
+  submit_parts(mg);
 }
 
-void Gatherer::hand_parts(InHand& mg) {
+void Gatherer::submit_parts(PendingMultiget& mg) {
   std::uint32_t number = 0;
   std::from_chars(mg.id.text.data(), mg.id.text.data() + 8, number, 16);
-  for (std::size_t i = mg.first_of_step; i < mg.pieces.size(); ++i) {
-    const Piece& piece = mg.pieces[i];
-    held_ += 1;
-    choice_.part_taken(
-        {part_id(mg.id, i), static_cast<double>(number), piece.shard, piece.mass, piece.key, piece.hint});
+  for (std::size_t i = mg.step_begin; i < mg.parts.size(); ++i) {
+    const Part& part = mg.parts[i];
+    pending_count_ += 1;
+    choice_.part_taken({part_id(mg.id, i), static_cast<double>(number), part.shard, part.weight, part.key,
+                        part.work_estimate});
   }
 }
 
-void Gatherer::sent_back(servers::Ended& ended) {
+void Gatherer::on_send_ended(servers::Ended& ended) {
   std::size_t at = 0;
-  InHand* mg = hand_of(ended.part, &at);
+  PendingMultiget* mg = find_pending(ended.part, &at);
   if (!check_invariant(mg != nullptr, "a send that ends belongs to a multiget in hand")) return;
-  Piece& piece = mg->pieces[at];
-  mg->out -= 1;
+  Part& part = mg->parts[at];
+  mg->sends_out -= 1;
   if (ended.fate == Fate::revoked || ended.fate == Fate::expired || ended.fate == Fate::dropped)
-    mg->last_given = std::max(mg->last_given, loop_.now() - ended.elapsed);
-  if (ended.fate == Fate::returned && !piece.returned && !mg->over) {
-    piece.returned = true;
-    piece.score = ended.score;
-    piece.value = std::move(ended.value);
+    mg->last_abandoned = std::max(mg->last_abandoned, loop_.now() - ended.elapsed);
+  if (ended.fate == Fate::returned && !part.returned && !mg->is_answered) {
+    part.returned = true;
+    part.score = ended.score;
+    part.value = std::move(ended.value);
   }
   choice_.send_ended(ended.part, ended.send, ended.fate, ended.elapsed, ended.report);
-  give_back(*mg);
+  release_if_finished(*mg);
 }
 
-void Gatherer::give_back(InHand& mg) {
-  if (!mg.over || mg.out > 0) return;
-  held_ -= 1 + static_cast<int>(mg.pieces.size());
-  by_wire_id_.erase(mg.wire_id);
-  hand_.give_back(hand_.find(mg.id));
+void Gatherer::release_if_finished(PendingMultiget& mg) {
+  if (!mg.is_answered || mg.sends_out > 0) return;
+  pending_count_ -= 1 + static_cast<int>(mg.parts.size());
+  by_request_id_.erase(mg.request_id);
+  pending_.give_back(pending_.find(mg.id));
 }
 
-// ---- carry out ----
+// ---- decisions ----
 
-void Gatherer::carry_out() {
-  while (const auto verdict = choice_.next_verdict()) decided(*verdict);
+void Gatherer::execute_decisions() {
+  while (const auto verdict = choice_.next_verdict()) on_verdict(*verdict);
   while (const auto gone = choice_.next_withdrawal()) {
     const bool carried = std::any_of(carriers_.begin(), carriers_.end(),
                                      [&](const auto& one) { return one->withdraw(gone->part, gone->send); });
@@ -489,82 +502,86 @@
   std::map<std::string, std::vector<servers::Errand>> calls;
   while (const auto send = choice_.next_send()) {
     std::size_t at = 0;
-    InHand* mg = hand_of(send->part, &at);
-    if (!check_invariant(mg != nullptr && !mg->over, "a send belongs to a multiget without its final answer"))
+    PendingMultiget* mg = find_pending(send->part, &at);
+    if (!check_invariant(mg != nullptr && !mg->is_answered,
+                         "a send belongs to a multiget without its final answer"))
       continue;
-    Piece& piece = mg->pieces[at];
-    if (totals::OpTypeCounts* count = counted(*mg)) {
+    Part& part = mg->parts[at];
+    if (totals::OpTypeCounts* count = op_type_counts(*mg)) {
       count->sends += 1;
-      count->further += piece.sent > 0 ? 1 : 0;
+      count->further += part.sends > 0 ? 1 : 0;
     }
     servers::Errand errand;
     errand.part = send->part;
-    errand.send = piece.sent++;
-    errand.id = mg->wire_id + '.' + std::to_string(piece.shard);
-    if (at >= mg->first_of_step && mg->step == 2) {
+    errand.send = part.sends++;
+    errand.id = mg->request_id + '.' + std::to_string(part.shard);
+    if (at >= mg->step_begin && mg->step == 2) {
       errand.id += ".phase2";
-      errand.more = ",from=" + mg->from + (mg->first_whole ? ",whole=1" : ",whole=0");
+      errand.more = ",from=" + mg->first_step_shards + (mg->is_first_step_complete ? ",whole=1" : ",whole=0");
     }
-    errand.shard = piece.shard;
-    errand.once = mg->once;
+    errand.shard = part.shard;
+    errand.once = mg->non_retriable;
     errand.text = mg->text;
     errand.not_past = send->not_past;
     errand.begun_by = send->begun_by;
     errand.pulled = loop_.now();
-    mg->out += 1;
+    mg->sends_out += 1;
     mg->last_send = loop_.now();
     calls[std::string(send->server)].push_back(std::move(errand));
   }
   for (auto& [server, errands] : calls) {
-    carrier::Carrier* const carrier = carrier_of(server);
+    carrier::Carrier* const carrier = carrier_for(server);
     carrier != nullptr ? carrier->call(server, std::move(errands))
                        : servers_.call(server, std::move(errands));
   }
   while (const auto server = choice_.next_probe()) {
-    carrier::Carrier* const carrier = carrier_of(*server);
+    carrier::Carrier* const carrier = carrier_for(*server);
     carrier != nullptr ? carrier->probe(std::string(*server)) : servers_.probe(std::string(*server));
   }
-  while (const auto call = choice_.next_list_call()) watch_.ask(*call == ListCall::watch);
+  while (const auto call = choice_.next_list_call()) list_watch_.ask(*call == ListCall::watch);
   while (const auto note = choice_.next_note())
     log::event(log::Level::info, "decisions.note", {{"what", *note}});
-  while (const auto wake = choice_.next_wake()) loop_.at(loop_.now() + *wake, [this] { woken_ = true; });
+  while (const auto wake = choice_.next_wake())
+    loop_.at(loop_.now() + *wake, [this] { is_wake_due_ = true; });
 }
 
-// Every step's end passes here, once for each. Connections keep no order among each other: a send that was
-// written a moment ago may be read behind the end of its step, and then comes after the final answer though
-// it left before it. Machines that stand still for a moment make that likely: parts become overdue and are
-// copied meanwhile, and afterwards everything is read at once. So where a send of the last 50 ms has no
-// answer, or one from before the end of a silence of all servers in that time, an answer waits these 50 ms
-// out, and what is given up on a tick only. That befalls multigets with a second copy just sent; harm: these
-// are answered so much later.
-void Gatherer::decided(const Verdict& verdict) {
-  InHand* mg = hand_of(verdict.multiget);
-  if (!check_invariant(mg != nullptr && !mg->over, "one final answer for each multiget")) return;
-  const Duration newest = std::max(mg->out > 0 ? mg->last_send : mg->last_given, mg->last_given);
-  const Duration silent = servers_.silent_until();
-  const Duration clear = (mg->out > 0 ? std::max(newest, silent) : newest) + kSlack;
-  if (loop_.now() > clear) return answered(*mg, verdict);
-  const Duration tick = loop_.now() + gatherer_config_.settings.tick;
-  loop_.at(verdict.ending == Ending::answer ? std::max(tick, clear) : tick, [this, verdict] {
-    InHand* late = hand_of(verdict.multiget);
-    if (late != nullptr && !late->over) answered(*late, verdict);
+// Handles the verdict on a step, once per step. Connections are not ordered among each other: a send written
+// a moment ago may be read after the end of its step, and so appear to come after the final answer although
+// it was sent before. That is likely when a machine stalls: parts become overdue and second copies are sent
+// meanwhile, and then everything is read at once. So if a send of the last 50 ms is unanswered, or one from
+// before the end of a silence of all servers in that time, an answer is delayed until those 50 ms are over,
+// and a push-back or failure by one tick only. This affects multigets with a second copy just sent; the cost
+// is that these are answered later by that time.
+void Gatherer::on_verdict(const Verdict& verdict) {
+  PendingMultiget* mg = find_pending(verdict.multiget);
+  if (!check_invariant(mg != nullptr && !mg->is_answered, "one final answer for each multiget")) return;
+  const Duration latest_send =
+      std::max(mg->sends_out > 0 ? mg->last_send : mg->last_abandoned, mg->last_abandoned);
+  const Duration silent_until = servers_.silent_until();
+  const Duration settled_at =
+      (mg->sends_out > 0 ? std::max(latest_send, silent_until) : latest_send) + kSocketTolerance;
+  if (loop_.now() > settled_at) return finish_step(*mg, verdict);
+  const Duration after_tick = loop_.now() + gatherer_config_.settings.tick;
+  loop_.at(verdict.ending == Ending::answer ? std::max(after_tick, settled_at) : after_tick, [this, verdict] {
+    PendingMultiget* late = find_pending(verdict.multiget);
+    if (late != nullptr && !late->is_answered) finish_step(*late, verdict);
   });
 }
 
-void Gatherer::answered(InHand& mg, const Verdict& verdict) {
-  if (verdict.ending == Ending::answer && mg.step == 1 && mg.second_step > 0) {
-    return second_step(mg, verdict.whole);
+void Gatherer::finish_step(PendingMultiget& mg, const Verdict& verdict) {
+  if (verdict.ending == Ending::answer && mg.step == 1 && mg.second_step_parts > 0) {
+    return begin_second_step(mg, verdict.whole);
   }
   const std::uint64_t caller = std::exchange(mg.caller, 0);
   by_caller_.erase({mg.front, caller});
-  front::Front& its = *fronts_[mg.front];
-  over(mg);
-  if (totals::OpTypeCounts* count = counted(mg)) {
-    const Duration took = loop_.now() - mg.began;
+  front::Front& front = *fronts_[mg.front];
+  mark_answered(mg);
+  if (totals::OpTypeCounts* count = op_type_counts(mg)) {
+    const Duration took = loop_.now() - mg.first_byte_at;
     if (verdict.ending == Ending::answer) {
       count->answered += 1;
       count->whole += verdict.whole ? 1 : 0;
-      count->in_budget += took <= mg.budget ? 1 : 0;
+      count->in_budget += took <= mg.latency_budget ? 1 : 0;
       count->latency.add(took);
     } else {
       (verdict.ending == Ending::push_back ? count->pushed_back : count->failed) += 1;
@@ -572,51 +589,51 @@
   }
   if (verdict.ending == Ending::answer) {
     std::vector<front::Value> values;
-    for (std::size_t i = mg.first_of_step; i < mg.pieces.size(); ++i) {
-      if (mg.pieces[i].returned) values.push_back({mg.pieces[i].shard, mg.pieces[i].value});
+    for (std::size_t i = mg.step_begin; i < mg.parts.size(); ++i) {
+      if (mg.parts[i].returned) values.push_back({mg.parts[i].shard, mg.parts[i].value});
     }
-    done_.answered += 1;
-    its.answer(caller, verdict.whole, values);
+    counters_.answered += 1;
+    front.answer(caller, verdict.whole, values);
   } else if (verdict.ending == Ending::push_back) {
-    done_.pushed_back += 1;
-    its.refuse(caller, front::Refusal::pushed_back, verdict.come_back);
+    counters_.pushed_back += 1;
+    front.refuse(caller, front::Refusal::pushed_back, verdict.come_back);
   } else {
-    done_.failed += 1;
-    its.refuse(caller, front::Refusal::failed, {});
+    counters_.failed += 1;
+    front.refuse(caller, front::Refusal::failed, {});
   }
   log::event(log::Level::debug, "multiget.ended",
-             {{"multiget", mg.wire_id},
+             {{"multiget", mg.request_id},
               {"caller", caller},
               {"how", verdict.ending == Ending::answer      ? "answered"
                       : verdict.ending == Ending::push_back ? "pushed_back"
                                                             : "failed"}});
-  give_back(mg);
+  release_if_finished(mg);
 }
 
-// The first answer is followed by further parts, at the shards that scored highest among those that are in.
-void Gatherer::second_step(InHand& mg, bool whole) {
-  std::vector<std::pair<double, int>> in;
+// Starts the second step: one part at each of the shards that scored highest among those that returned.
+void Gatherer::begin_second_step(PendingMultiget& mg, bool complete) {
+  std::vector<std::pair<double, int>> by_score;  // highest first
   std::vector<int> shards;
-  for (const Piece& piece : mg.pieces) {
-    if (!piece.returned) continue;
-    in.push_back({-piece.score, piece.shard});
-    shards.push_back(piece.shard);
+  for (const Part& part : mg.parts) {
+    if (!part.returned) continue;
+    by_score.push_back({-part.score, part.shard});
+    shards.push_back(part.shard);
   }
-  std::sort(in.begin(), in.end());
+  std::sort(by_score.begin(), by_score.end());
   std::sort(shards.begin(), shards.end());
-  in.resize(std::min(in.size(), static_cast<std::size_t>(mg.second_step)));
+  by_score.resize(std::min(by_score.size(), static_cast<std::size_t>(mg.second_step_parts)));
   for (const int shard : shards) {
-    if (!mg.from.empty()) mg.from += '+';
-    mg.from += std::to_string(shard);
+    if (!mg.first_step_shards.empty()) mg.first_step_shards += '+';
+    mg.first_step_shards += std::to_string(shard);
   }
   mg.step = 2;
-  mg.first_whole = whole;
-  mg.first_of_step = mg.pieces.size();
-  for (const auto& [score, shard] : in) {
-    mg.pieces.push_back({shard, 1.0 / static_cast<double>(in.size()), 0, 0s, 0, false, 0, {}});
+  mg.is_first_step_complete = complete;
+  mg.step_begin = mg.parts.size();
+  for (const auto& [score, shard] : by_score) {
+    mg.parts.push_back({shard, 1.0 / static_cast<double>(by_score.size()), 0, 0s, 0, false, 0, {}});
   }
-  done_.second_steps += 1;
-  second_steps_.push_back(mg.id);
+  counters_.second_steps += 1;
+  second_steps_to_submit_.push_back(mg.id);
 }
 
 }  // namespace marbledyke::gatherer
--- a/src/gatherer/gatherer.h
+++ b/src/gatherer/gatherer.h
@@ -1,5 +1,6 @@
-// The gatherer's turn: what is ready is gathered, handed to the module in one go, and what it decides is
-// carried out. Keeps the multigets in hand and their ids; decides nothing.
+// The gatherer's main loop. Each turn collects the events that are ready, delivers them to the decision
+// module together, and executes its decisions. Keeps the pending multigets and their ids; makes no decisions
+// itself.
 #pragma once
 
 #include <array>
@@ -27,136 +28,146 @@
 
 class Gatherer {
  public:
-  // Outlived by the gatherer_config, whose settings change with reload().
-  // A socket that listens already at the address for clients may be given, and another clock.
+  // The configuration must outlive the gatherer; reload() changes its settings. `listening` may be a socket
+  // that already listens at the address for clients.
   explicit Gatherer(config::GathererConfig& gatherer_config, net::Descriptor listening = {},
                     const TimeSource& clock = machine_clock());
 
-  // A further front beside the platform's; before the first turn.
+  // Adds a front beside the platform's own. Must be called before the first turn.
   void add(std::unique_ptr<front::Front> front);
-  // The way to servers that speak another protocol than frames; before the first turn.
+  // Adds a carrier to servers that speak another protocol than frames. Must be called before the first turn.
   void add(std::unique_ptr<carrier::Carrier> carrier);
-  bool release_connection();  // a descriptor is needed; false: none can be given up
+  // Closes a client connection to release a descriptor; returns false if none can be closed.
+  bool release_connection();
 
-  // One turn; false once all is done after leave().
+  // Runs one turn of the event loop. Returns false once a planned stop is complete.
   bool run_once();
-  // A planned stop: clients that are connected are served for a while yet, what was taken is finished.
+  // Starts a planned stop: connected clients are served for a while longer, and pending multigets are
+  // finished.
   void begin_stop();
-  // The configuration read anew: settings and discovery are taken, the rest is named in the log. What was
-  // taken in is finished under the settings it came under. Throws, and changes nothing, where they make no
-  // sense.
+  // Applies a new configuration: its settings and its discovery address. Other differences are logged, since
+  // they need a restart. Multigets already delivered to the decision module finish under the settings that
+  // they arrived under. Throws, without any change, if the settings are invalid.
   void reload(const config::GathererConfig& fresh);
-  // The operator's own terms, at the start and whenever they were read again.
+  // Applies the operator's terms, at the start and after each reload of their file.
   void apply_operator_terms(const operator_file::Terms& terms);
   net::Loop& loop() { return loop_; }
-  void log_totals();  // a log line of what has been done
-  // From now on each second of the wall clock is counted by op type and told, one line of JSON each, after
-  // it.
-  void record_windows(std::function<void(const std::string& line)> told);
+  // Logs the totals since the start.
+  void log_totals();
+  // From now on, counts each second of the wall clock by op type, and passes each window to `listener` as a
+  // line of JSON after its end.
+  void record_windows(std::function<void(const std::string& line)> listener);
   const servers::Tally& tally() const { return servers_.tally(); }
   const servers::Servers& servers() const { return servers_; }
 
  private:
-  struct Piece {
+  struct Part {
     int shard = 0;
-    double mass = 0;
+    double weight = 0;
     std::uint64_t key = 0;
-    Duration hint{};
-    int sent = 0;
+    Duration work_estimate{};
+    int sends = 0;
     bool returned = false;
     double score = 0;
-    std::string value;
+    std::string value;  // valid once returned
   };
 
-  // A multiget from its request to the end of its last send. Its id and its parts' differ in their last
-  // digits.
-  struct InHand {
+  // A multiget from its request to the end of its last send. Its id and those of its parts differ only in the
+  // last digits.
+  struct PendingMultiget {
     Rid id;
     std::size_t front = 0;
-    std::uint64_t caller = 0;  // 0 once it has its final answer or its client has left
-    std::string wire_id;
-    Duration until{};     // what the module was told: its final answer comes before
-    int second_step = 0;  // by the settings it was taken under, as is the next
-    bool once = false;
+    std::uint64_t caller = 0;   // 0 after its final answer or the disconnect of its client
+    std::string request_id;     // as stated by the client
+    Duration deadline{};        // for the final answer, as given to the decision module
+    int second_step_parts = 0;  // as in the settings it arrived under, like the next
+    bool non_retriable = false;
     int step = 1;
-    bool first_whole = false;
-    bool over = false;
-    int out = 0;                                // sends
-    Duration last_send = Duration::min() / 2;   // when the newest was pulled
-    Duration last_given = Duration::min() / 2;  // and the newest that was given up without an answer
-    std::size_t first_of_step = 0;
-    std::vector<Piece> pieces;  // of both steps
+    bool is_first_step_complete = false;
+    bool is_answered = false;
+    int sends_out = 0;
+    Duration last_send = Duration::min() / 2;  // when the latest send was handed out
+    Duration last_abandoned =
+        Duration::min() / 2;     // when the latest send that ended without an answer was handed out
+    std::size_t step_begin = 0;  // index of the current step's first part
+    std::vector<Part> parts;     // of both steps
     std::shared_ptr<const std::string> text;
-    std::string from;  // the shards that the second step is from
-    // For the record only, empty without one.
+    std::string first_step_shards;  // that returned, joined with "+"
+    // For the recorder only; empty without one.
     std::string op_type;
-    Duration began{}, budget{};
+    Duration first_byte_at{}, latency_budget{};
   };
 
-  // What is counted while somebody is told.
-  struct Record {
-    std::function<void(const std::string&)> told;
+  // Counts the current window while a listener is set.
+  struct Recorder {
+    std::function<void(const std::string&)> listener;
     totals::Window window;
-    std::uint64_t number = 0;
+    std::uint64_t windows_published = 0;
   };
 
-  struct Taken {
-    std::uint64_t sent = 0, answered = 0, pushed_back = 0, failed = 0, left = 0, no_room = 0,
-                  second_steps = 0, unreadable = 0;
+  // Counts since the start, in multigets unless stated otherwise.
+  struct Counters {
+    std::uint64_t accepted = 0;
+    std::uint64_t answered = 0;
+    std::uint64_t pushed_back = 0;
+    std::uint64_t failed = 0;
+    std::uint64_t client_left = 0;
+    std::uint64_t refused_at_capacity = 0;
+    std::uint64_t second_steps = 0;
+    std::uint64_t unreadable_entries = 0;  // of discovery's lists
   };
 
-  Rid part_id(const Rid& multiget, std::size_t piece) const;
-  InHand* hand_of(const Rid& part, std::size_t* piece = nullptr);
-  bool any_news() const;
-  bool no_clients() const;
-  bool writing() const;
-  void hand_over();
-  void carry_out();
-  void take(std::size_t front, front::Request& asked);
-  void left(std::size_t front, std::uint64_t caller);
-  void fail_what_outlasts_stop();
-  void hand_parts(InHand& mg);
-  void sent_back(servers::Ended& ended);
-  void decided(const Verdict& verdict);
-  void answered(InHand& mg, const Verdict& verdict);
-  void second_step(InHand& mg, bool whole);
-  void over(InHand& mg);
-  void give_back(InHand& mg);
-  void list_came(list::News&& news);
-  carrier::Carrier* carrier_of(std::string_view server);
+  Rid part_id(const Rid& multiget, std::size_t part_index) const;
+  PendingMultiget* find_pending(const Rid& part, std::size_t* part_index = nullptr);
+  bool has_events() const;
+  bool has_no_clients() const;
+  bool is_writing() const;
+  void deliver_events();
+  void execute_decisions();
+  void on_multiget_received(std::size_t front, front::Request& request);
+  void on_client_left(std::size_t front, std::uint64_t caller);
+  void fail_remaining_at_stop();
+  void submit_parts(PendingMultiget& mg);
+  void on_send_ended(servers::Ended& ended);
+  void on_verdict(const Verdict& verdict);
+  void finish_step(PendingMultiget& mg, const Verdict& verdict);
+  void begin_second_step(PendingMultiget& mg, bool complete);
+  void mark_answered(PendingMultiget& mg);
+  void release_if_finished(PendingMultiget& mg);
+  void on_list_update(list::News&& news);
+  carrier::Carrier* carrier_for(std::string_view server);
 
-  bool renew(const config::GathererConfig& fresh);
-  void tell_window();
-  // Where a multiget is counted; none: nobody is told.
-  totals::OpTypeCounts* counted(const InHand& mg);
+  bool apply_settings(const config::GathererConfig& fresh);
+  void publish_window();
+  // Returns the counts of the multiget's op type in the current window; null without a recorder.
+  totals::OpTypeCounts* op_type_counts(const PendingMultiget& mg);
 
   config::GathererConfig& gatherer_config_;
-  net::Address discovery_;  // the one of the newest configuration
+  net::Address discovery_;  // of the latest configuration
   net::Loop loop_;
   Duration unix_start_;
   Choice choice_;
   servers::Servers servers_;
   std::vector<std::unique_ptr<carrier::Carrier>> carriers_;
-  clients::HttpFront clients_;
-  std::vector<std::unique_ptr<front::Front>> more_fronts_;
-  std::vector<front::Front*> fronts_{&clients_};  // all of them, the platform's first
-  list::Watch watch_;
-  Slab<InHand> hand_;
-  int held_ = 0;  // multigets and parts
-  int open_ = 0;  // multigets not finally answered
+  clients::HttpFront http_front_;
+  std::vector<std::unique_ptr<front::Front>> extra_fronts_;
+  std::vector<front::Front*> fronts_{&http_front_};  // all fronts, the platform's first
+  list::Watch list_watch_;
+  Slab<PendingMultiget> pending_;
+  int pending_count_ = 0;  // multigets and parts, against the limit max_pending
+  int unanswered_ = 0;     // multigets without their final answer
   std::uint32_t next_number_ = 1;
-  std::vector<std::uint64_t> numbers_;
   std::map<std::pair<std::size_t, std::uint64_t>, Rid> by_caller_;
-  std::map<std::string, Rid, std::less<>> by_wire_id_;
-  std::vector<Rid> second_steps_;  // whose parts the module is told of in the next turn
-  std::vector<list::News> news_;
-  std::vector<Duration> refusals_;  // of the list; within what each is asked for again
-  bool woken_ = true;
-  std::optional<Duration> leave_by_;  // in a planned stop: when all must be over
-  bool accepting_ = true, parting_ = false;
-  Taken done_;
-  log::RateLimitedEvent long_turns_{log::Level::warning, "gatherer.long_turn"};
-  std::optional<Record> record_;
+  std::map<std::string, Rid, std::less<>> by_request_id_;
+  std::vector<Rid> second_steps_to_submit_;  // whose parts are submitted in the next turn
+  std::vector<list::News> list_updates_;
+  std::vector<Duration> list_refusals_;  // upper bounds of the backoff after refused list requests
+  bool is_wake_due_ = true;
+  std::optional<Duration> stop_deadline_;  // in a planned stop: by when all multigets must be answered
+  bool is_accepting_ = true, closes_after_answers_ = false;
+  Counters counters_;
+  log::RateLimitedEvent long_turn_event_{log::Level::warning, "gatherer.long_turn"};
+  std::optional<Recorder> recorder_;
 };
 
 }  // namespace marbledyke::gatherer
--- a/tests/client_room_traces.cpp
+++ b/tests/client_room_traces.cpp
@@ -1,6 +1,6 @@
-// Traces of what happens to clients when places or descriptors are short, and at a planned stop: each request
-// whose connection the kernel has accepted gets an answer or a refusal, and no connection with a request on
-// its way is reset.
+// Traces of the client side when connection slots or descriptors are scarce, and during a planned stop. Each
+// request on a connection that the kernel has accepted gets an answer or a refusal, and no connection with a
+// request under way is reset.
 #include <poll.h>
 
 #include <algorithm>
@@ -18,27 +18,32 @@
 
 namespace {
 
-const Changes kFewPlaces{{R"("sockets":200)", R"("sockets":64)"}, {R"("max-open":9)", R"("max-open":1000)"}};
-constexpr int kMoreThanPlaces = 90;
+const Changes kFewSlots{{R"("sockets":200)", R"("sockets":64)"}, {R"("max-open":9)", R"("max-open":1000)"}};
+constexpr int kMoreThanSlots = 90;
 
-// What has become of a number of clients.
-struct Count {
-  int served = 0, refused = 0, other = 0, waiting = 0, unanswered = 0, cut = 0;
+// The outcomes of a number of clients.
+struct Outcomes {
+  int served = 0;
+  int refused = 0;
+  int other = 0;       // another status
+  int waiting = 0;     // no response yet
+  int unanswered = 0;  // closed without a response
+  int reset = 0;
 };
 
-Count count(std::list<Client>& clients) {
-  Count out;
+Outcomes count_outcomes(std::list<Client>& clients) {
+  Outcomes out;
   for (Client& client : clients) {
     const bool answered = client.answered();
     const std::string status = answered ? client.text.substr(9, 3) : "";
-    out.cut += client.wire.cut ? 1 : 0;
+    out.reset += client.connection.was_reset ? 1 : 0;
     if (status == "200") {
       ++out.served;
     } else if (status == "503") {
       ++out.refused;
     } else if (answered) {
       ++out.other;
-    } else if (client.wire.ended) {
+    } else if (client.connection.ended) {
       ++out.unanswered;
     } else {
       ++out.waiting;
@@ -47,159 +52,163 @@
   return out;
 }
 
-void say_none(const Count& seen) {
-  say("without an answer: " + std::to_string(seen.unanswered) + ", cut: " + std::to_string(seen.cut) +
-      ", still waiting: " + std::to_string(seen.waiting) +
-      ", with another answer: " + std::to_string(seen.other));
+void print_failures(const Outcomes& outcomes) {
+  print("without a response: " + std::to_string(outcomes.unanswered) + ", reset: " +
+        std::to_string(outcomes.reset) + ", still waiting: " + std::to_string(outcomes.waiting) +
+        ", with another status: " + std::to_string(outcomes.other));
 }
 
-void answer_all(Leaf& leaf) {
-  constexpr std::size_t kTextSize = 4;  // of what each part carries
-  for (const Leaf::Got& got : std::exchange(leaf.got, {})) {
-    if (got.text[0] != '1') continue;
-    for (std::size_t at = 2; at < got.text.size(); at = got.text.find('|', at) + 1 + kTextSize)
-      leaf.answer(got.wire, got.text.substr(at, got.text.find(' ', at) - at), "S 1 -", "v");
+void answer_all(FakeShardServer& server) {
+  constexpr std::size_t kTextSize = 4;  // of the text "f00d" that each part carries
+  for (const FakeShardServer::Frame& frame : std::exchange(server.frames, {})) {
+    if (frame.text[0] != '1') continue;
+    for (std::size_t at = 2; at < frame.text.size(); at = frame.text.find('|', at) + 1 + kTextSize)
+      server.answer(frame.connection, frame.text.substr(at, frame.text.find(' ', at) - at), "S 1 -", "v");
   }
 }
 
-// On new connections, each written to as soon as it is there.
-void connect_and_ask(std::list<Client>& clients, int number, const std::string& prefix) {
+// Opens connections and sends one multiget on each as soon as it is established.
+void connect_and_send(std::list<Client>& clients, int number, const std::string& prefix) {
   for (int i = 0; i < number; ++i) {
     clients.emplace_back();
-    pollfd waits{clients.back().wire.fd.get(), POLLOUT, 0};
+    pollfd waits{clients.back().connection.fd.get(), POLLOUT, 0};
     poll(&waits, 1, 1000);
-    clients.back().send(prefix + std::to_string(i), "issue", kOne);
+    clients.back().send(prefix + std::to_string(i), "issue", kOnePart);
   }
 }
 
-// Every place holds a request in hand, and more come on connections of their own: these are told at once that
-// there is no room, and nobody's connection ends without an answer.
+// All slots hold a pending request, and more clients connect: these are refused at once, and no connection
+// ends without a response.
 void all_in_hand() {
-  Leaf leaf(11);
-  SteppedTime clock;
-  Scene scene(entry("A", 11), clock, kFewPlaces);
-  scene.hosts = {&leaf};
+  FakeShardServer server(11);
+  ManualClock clock;
+  Scene scene(list_entry("A", 11), clock, kFewSlots);
+  scene.fake_servers = {&server};
   std::list<Client> clients;
-  connect_and_ask(clients, kMoreThanPlaces, "m");
-  scene.pass(30ms);
-  const Count at_once = count(clients);
-  say(at_once.refused > 0 && at_once.refused + at_once.waiting == kMoreThanPlaces
-          ? "each is in hand or refused within 30 ms"
-          : "NOT EACH IS IN HAND OR REFUSED");
+  connect_and_send(clients, kMoreThanSlots, "m");
+  scene.advance(30ms);
+  const Outcomes at_once = count_outcomes(clients);
+  print(at_once.refused > 0 && at_once.refused + at_once.waiting == kMoreThanSlots
+            ? "each is pending or refused within 30 ms"
+            : "NOT EACH IS PENDING OR REFUSED");
   const auto refused =
       std::find_if(clients.begin(), clients.end(), [](Client& client) { return client.answered(); });
-  if (refused != clients.end()) say("a refusal: " + refused->answer());
+  if (refused != clients.end()) print("a refusal: " + refused->answer());
   if (refused != clients.end()) clients.erase(refused);
-  answer_all(leaf);
-  scene.until("the answers", [&] { return count(clients).waiting == 0; });
-  say_none(count(clients));
-  say(count(clients).served == at_once.waiting ? "all in hand are served" : "NOT ALL IN HAND ARE SERVED");
+  answer_all(server);
+  scene.run_until("the answers", [&] { return count_outcomes(clients).waiting == 0; });
+  print_failures(count_outcomes(clients));
+  print(count_outcomes(clients).served == at_once.waiting ? "all pending ones are served"
+                                                          : "NOT ALL PENDING ONES ARE SERVED");
   clients.clear();
-  scene.pass(10ms);
-  connect_and_ask(clients, 10, "later");
-  scene.pass(10ms);
-  answer_all(leaf);
-  scene.pass(10ms);
-  say("of 10 who come afterwards served: " + std::to_string(count(clients).served));
+  scene.advance(10ms);
+  connect_and_send(clients, 10, "later");
+  scene.advance(10ms);
+  answer_all(server);
+  scene.advance(10ms);
+  print("served of 10 that connect afterwards: " + std::to_string(count_outcomes(clients).served));
 }
 
-// In this turn, after what has come in was read and before any of the gatherer's own timers.
-void before_timers(Scene& scene, const std::function<void()>& what) {
-  scene.gatherer.loop().at(Duration::min() / 2, what);
+// Runs `action` in the next turn, after input has been read and before any timer of the gatherer.
+void run_before_timers(Scene& scene, const std::function<void()>& action) {
+  scene.gatherer.loop().at(Duration::min() / 2, action);
 }
 
-// Every place holds a request in hand when a planned stop ends its accepting, and others connect in that very
-// turn: these are refused and not reset with the queue. Who connects a moment later still is answered.
+// All slots hold a pending request when a planned stop ends accepting, and more clients connect in the same
+// turn: they are refused, not reset with the accept queue. Clients that connect shortly afterwards are
+// served.
 void queue_at_stop() {
-  Leaf leaf(11);
-  SteppedTime clock;
-  Scene scene(entry("A", 11), clock, kFewPlaces);
-  scene.hosts = {&leaf};
+  FakeShardServer server(11);
+  ManualClock clock;
+  Scene scene(list_entry("A", 11), clock, kFewSlots);
+  scene.fake_servers = {&server};
   std::list<Client> before, at_end, after;
-  connect_and_ask(before, kMoreThanPlaces, "before");
-  scene.pass(20ms);
+  connect_and_send(before, kMoreThanSlots, "before");
+  scene.advance(20ms);
   scene.gatherer.begin_stop();
-  scene.pass(399ms);
-  before_timers(scene, [&] { connect_and_ask(at_end, 20, "at-end"); });
-  scene.pass(50ms);
-  say("refused of 20 who came at the end: " + std::to_string(count(at_end).refused));
-  say_none(count(at_end));
-  answer_all(leaf);
-  scene.pass(50ms);
-  say_none(count(before));
-  connect_and_ask(after, 5, "after");
-  scene.pass(20ms);
-  answer_all(leaf);
-  scene.pass(20ms);
-  say("served of 5 who came 0.1 s later: " + std::to_string(count(after).served));
+  scene.advance(399ms);
+  run_before_timers(scene, [&] { connect_and_send(at_end, 20, "at-end"); });
+  scene.advance(50ms);
+  print("refused of 20 that connect at the end: " + std::to_string(count_outcomes(at_end).refused));
+  print_failures(count_outcomes(at_end));
+  answer_all(server);
+  scene.advance(50ms);
+  print_failures(count_outcomes(before));
+  connect_and_send(after, 5, "after");
+  scene.advance(20ms);
+  answer_all(server);
+  scene.advance(20ms);
+  print("served of 5 that connect 0.1 s later: " + std::to_string(count_outcomes(after).served));
   before.clear();
   at_end.clear();
   after.clear();
-  scene.until("the end", [&] { return !scene.running; });
+  scene.run_until("the end", [&] { return !scene.running; });
 }
 
-// Clients that say nothing, or half a request, hold every place and more wait behind them: an honest one that
-// comes last is served all the same, and nobody is reset.
+// Clients that send nothing, or an incomplete request, occupy all slots and the accept queue: well-behaved
+// clients that connect last are served, and no connection is reset.
 void floods() {
   for (const bool half : {false, true}) {
-    Leaf leaf(11);
-    SteppedTime clock;
-    Scene scene(entry("A", 11), clock, kFewPlaces);
-    scene.hosts = {&leaf};
+    FakeShardServer server(11);
+    ManualClock clock;
+    Scene scene(list_entry("A", 11), clock, kFewSlots);
+    scene.fake_servers = {&server};
     std::list<Client> flood(150), honest;
     for (Client& client : flood) {
-      if (half) client.wire.put("POST /api HTT");
+      if (half) client.connection.write("POST /api HTT");
     }
-    connect_and_ask(honest, 5, "m");
+    connect_and_send(honest, 5, "m");
     const Duration came = clock.steady();
-    scene.until("the last of them", [&] {
-      answer_all(leaf);
-      return count(honest).waiting == 0;
+    scene.run_until("the last of them", [&] {
+      answer_all(server);
+      return count_outcomes(honest).waiting == 0;
     });
-    say(std::string(half ? "half requests: " : "silence: ") + std::to_string(count(honest).served) +
-        " of 5 served" + (clock.steady() - came < 2s ? ", before their flood is over" : ", LATE"));
-    say_none(count(honest));
-    say(std::none_of(flood.begin(), flood.end(), [](const Client& one) { return one.wire.cut; })
-            ? "none is cut"
-            : "CUT");
+    print(std::string(half ? "incomplete requests: " : "silent clients: ") +
+          std::to_string(count_outcomes(honest).served) + " of 5 served" +
+          (clock.steady() - came < 2s ? ", before the flood ends" : ", LATE"));
+    print_failures(count_outcomes(honest));
+    print(std::none_of(flood.begin(), flood.end(), [](const Client& one) { return one.connection.was_reset; })
+              ? "none is reset"
+              : "RESET");
   }
 }
 
-// Kept connections rest on every place: who comes gets theirs. Each is ended in order, but for one whose next
-// request had come and was not yet told of: that is served.
+// Idle kept connections occupy all slots: new clients get slots of theirs. The idle ones are closed in order,
+// except for one whose next request has arrived but was not reported yet: that request is served.
 void resting_in_order() {
-  Leaf leaf(11);
-  SteppedTime clock;
-  Scene scene(entry("A", 11), clock, kFewPlaces);
-  scene.hosts = {&leaf};
+  FakeShardServer server(11);
+  ManualClock clock;
+  Scene scene(list_entry("A", 11), clock, kFewSlots);
+  scene.fake_servers = {&server};
   std::list<Client> resting, fresh;
-  connect_and_ask(resting, 43, "m");
-  scene.pass(20ms);
-  answer_all(leaf);
-  scene.pass(20ms);
-  say("served and kept: " + std::to_string(count(resting).served));
+  connect_and_send(resting, 43, "m");
+  scene.advance(20ms);
+  answer_all(server);
+  scene.advance(20ms);
+  print("served and kept: " + std::to_string(count_outcomes(resting).served));
   for (Client& client : resting) client.text.clear();
-  before_timers(scene, [&] {
-    connect_and_ask(fresh, 10, "fresh");
-    resting.front().send("next", "issue", kOne);
+  run_before_timers(scene, [&] {
+    connect_and_send(fresh, 10, "fresh");
+    resting.front().send("next", "issue", kOnePart);
   });
-  scene.pass(20ms);
-  answer_all(leaf);
-  scene.pass(20ms);
-  say("served of 10 who came: " + std::to_string(count(fresh).served));
-  say_none(count(fresh));
-  const Count kept = count(resting);
-  say("whose next request crossed: " + std::to_string(kept.served) +
-      " served; ended in order: " + std::to_string(kept.unanswered) + ", cut: " + std::to_string(kept.cut));
+  scene.advance(20ms);
+  answer_all(server);
+  scene.advance(20ms);
+  print("served of 10 that connect: " + std::to_string(count_outcomes(fresh).served));
+  print_failures(count_outcomes(fresh));
+  const Outcomes kept = count_outcomes(resting);
+  print("of the idle ones, with a next request under way: " + std::to_string(kept.served) +
+        " served; closed in order: " + std::to_string(kept.unanswered) +
+        ", reset: " + std::to_string(kept.reset));
 }
 
-// A request that began before a planned stop and ends in it is served; one that takes beyond the time for
-// this is answered, and its connection is not cut while it goes on.
+// A request that begins before a planned stop and is completed during it is served. One that is not completed
+// in time gets an error response, and its connection is not reset while the client goes on sending.
 void pieces_across_stop() {
-  Leaf leaf(11);
-  SteppedTime clock;
-  Scene scene(entry("A", 11), clock, kFewPlaces);
-  scene.hosts = {&leaf};
+  FakeShardServer server(11);
+  ManualClock clock;
+  Scene scene(list_entry("A", 11), clock, kFewSlots);
+  scene.fake_servers = {&server};
   Client body_later, trickles;
   const std::string body = R"({"slices":[{"slice":1,"mass":1}],"filter":"f00d"})";
   const auto head = [&](const char* id) {
@@ -207,78 +216,79 @@
            "\r\nX-Class: issue\r\nX-Deadline-Ms: 50000\r\nContent-Length: " + std::to_string(body.size()) +
            "\r\n\r\n";
   };
-  body_later.wire.put(head("later"));
-  scene.pass(100ms);
+  body_later.connection.write(head("later"));
+  scene.advance(100ms);
   scene.gatherer.begin_stop();
-  scene.pass(200ms);
-  body_later.wire.put(body);
-  scene.pass(20ms);
-  answer_all(leaf);
-  scene.answered(body_later, "whose body came later");
-  // From now on a byte every 10 ms, over the end of the time for new connections.
+  scene.advance(200ms);
+  body_later.connection.write(body);
+  scene.advance(20ms);
+  answer_all(server);
+  scene.print_answer(body_later, "a client that sends its body later");
+  // One byte every 10 ms from now on, beyond the time at which new connections end.
   const std::string whole = head("trickles") + body;
   for (const char byte : whole) {
-    if (trickles.answered() || trickles.wire.ended) break;
-    trickles.wire.put(std::string(1, byte));
-    scene.pass(10ms);
+    if (trickles.answered() || trickles.connection.ended) break;
+    trickles.connection.write(std::string(1, byte));
+    scene.advance(10ms);
   }
-  scene.pass(10ms);
-  answer_all(leaf);
-  scene.answered(trickles, "who trickles");
-  say(trickles.wire.cut ? "CUT" : "not cut");
+  scene.advance(10ms);
+  answer_all(server);
+  scene.print_answer(trickles, "a client that sends byte by byte");
+  print(trickles.connection.was_reset ? "RESET" : "not reset");
 }
 
-// The last answers of a planned stop, whose end by force comes 3.7 s after the signal. A second step that
-// begins at the last moment ends in time, and an answer whose client reads slowly is written on after the
-// moment by which it was decided.
+// The last answers of a planned stop, which is ended by force 3.7 s after the signal. A second step that
+// begins at the last moment ends in time, and an answer to a slow reader is still written after the time by
+// which it had to be decided.
 void last_answers() {
-  Leaf leaf(11);
-  SteppedTime clock;
+  FakeShardServer server(11);
+  ManualClock clock;
   constexpr int kSlices = 128;
   const std::string value(60'000, 'v');
-  Changes many_shards = kFewPlaces;
+  Changes many_shards = kFewSlots;
   many_shards.push_back({R"("slabs":4)", R"("slabs":)" + std::to_string(kSlices)});
-  std::optional<Scene> program(std::in_place, entry("A", 11), clock, many_shards);
+  std::optional<Scene> program(std::in_place, list_entry("A", 11), clock, many_shards);
   Scene& scene = *program;
-  scene.hosts = {&leaf};
-  scene.pass(10ms);
-  const Duration told = clock.steady();
+  scene.fake_servers = {&server};
+  scene.advance(10ms);
+  const Duration stop_begun = clock.steady();
   scene.gatherer.begin_stop();
-  scene.pass(300ms);
+  scene.advance(300ms);
   Client two_steps, slow;
   const int small = 32 * 1024;
-  setsockopt(slow.wire.fd.get(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
-  two_steps.send("steps", "draft", kTwo);
+  setsockopt(slow.connection.fd.get(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
+  two_steps.send("steps", "draft", kTwoParts);
   std::string slices;
   for (int i = 0; i < kSlices; ++i)
     slices += (i > 0 ? "," : "[") + std::string(R"({"slice":)") + std::to_string(i) + R"(,"mass":0.0078125})";
   slow.send("slow", "issue", slices + "]");
-  scene.pass(2980ms);
-  // More than the system holds for a connection; written part by part, since the stand-in does not wait for
-  // its socket.
-  for (const Leaf::Got& got : std::exchange(leaf.got, {})) {
-    for (std::size_t at = 2; at < got.text.size(); at = got.text.find('|', at) + 5) {
-      const std::string part = got.text.substr(at, got.text.find(' ', at) - at);
-      leaf.answer(got.wire, part, "S 1 -", part.starts_with("slow") ? value : "v");
-      scene.pass(1ms);
+  scene.advance(2980ms);
+  // More than the kernel buffers for a connection; written part by part, since the fake server does not wait
+  // for its socket.
+  for (const FakeShardServer::Frame& frame : std::exchange(server.frames, {})) {
+    for (std::size_t at = 2; at < frame.text.size(); at = frame.text.find('|', at) + 5) {
+      const std::string part = frame.text.substr(at, frame.text.find(' ', at) - at);
+      server.answer(frame.connection, part, "S 1 -", part.starts_with("slow") ? value : "v");
+      scene.advance(1ms);
     }
   }
-  scene.answered(two_steps, "who waits for two steps");
-  say(clock.steady() - told <= 3550ms ? "in time" : "TOO LATE");
-  while (scene.running && clock.steady() - told < 3570ms) scene.pass(1ms);
-  two_steps.wire.fd.close();
+  scene.print_answer(two_steps, "a client that waits for two steps");
+  print(clock.steady() - stop_begun <= 3550ms ? "in time" : "TOO LATE");
+  while (scene.running && clock.steady() - stop_begun < 3570ms) scene.advance(1ms);
+  two_steps.connection.fd.close();
   std::string text;
   while (scene.running) {
-    text += slow.wire.take();
-    scene.pass(1ms);
-    if (text.size() > kSlices * value.size()) slow.wire.fd.close();
+    text += slow.connection.read_available();
+    scene.advance(1ms);
+    if (text.size() > kSlices * value.size()) slow.connection.fd.close();
   }
-  say(clock.steady() - told < 3700ms ? "ended before the end by force" : "ENDED BY FORCE");
+  print(clock.steady() - stop_begun < 3700ms ? "ended before the forced end" : "ENDED BY FORCE");
   program.reset();
   const auto end = std::chrono::steady_clock::now() + 5s;
-  while (slow.wire.fd && !slow.wire.ended && std::chrono::steady_clock::now() < end) text += slow.wire.take();
-  say(text.size() > kSlices * value.size() ? "the slow reader has its whole answer"
-                                           : "CUT OFF after " + std::to_string(text.size()));
+  while (slow.connection.fd && !slow.connection.ended && std::chrono::steady_clock::now() < end)
+    text += slow.connection.read_available();
+  print(text.size() > kSlices * value.size() ? "the slow reader has its whole answer"
+                                             : "TRUNCATED after " + std::to_string(text.size()));
 }
 
 }  // namespace
