--- a/tests/crossing_traces.cpp
+++ b/tests/crossing_traces.cpp
@@ -1,6 +1,6 @@
-// Traces of what crosses: a request, an answer, a reset or a signal that comes between two lines of the
-// gatherer. The order is forced: a step is taken between two turns, or by a timer within one, before the
-// gatherer's own.
+// Traces of races: a request, an answer, a reset or a signal that arrives at an inconvenient point of the
+// gatherer's work. The order is deterministic: each step is taken between two turns of the event loop, or
+// within a turn by a timer that runs before those of the gatherer.
 #include <poll.h>
 #include <sys/resource.h>
 
@@ -17,416 +17,429 @@
 
 namespace {
 
-// In this turn, after what has come in was read and before any of the gatherer's own timers.
-void before_timers(Scene& scene, const std::function<void()>& what) {
-  scene.gatherer.loop().at(Duration::min() / 2, what);
+// Runs `action` in the next turn, after input has been read and before any timer of the gatherer.
+void run_before_timers(Scene& scene, const std::function<void()>& action) {
+  scene.gatherer.loop().at(Duration::min() / 2, action);
 }
 
-// A client sends much at once and goes, by a reset that comes after the first answer was written and before
-// the second is: the write that meets it ends the connection in the middle of its own turn.
+// A client pipelines many requests and resets its connection after the first response was written and before
+// the second. The write that fails closes the connection while its own input is being handled.
 void flood_gone() {
-  Scene scene(entry("A", 11));
+  Scene scene(list_entry("A", 11));
   Client flood, other;
   std::string many;
   for (int i = 0; i < 50; ++i) many += "GET /other HTTP/1.1\r\n\r\n";
-  flood.wire.put(many);
-  before_timers(scene, [&] { flood.wire.reset(); });
+  flood.connection.write(many);
+  run_before_timers(scene, [&] { flood.connection.reset(); });
   for (int i = 0; i < 5; ++i) scene.gatherer.run_once();
-  other.wire.put("GET /healthz HTTP/1.1\r\n\r\n");
-  scene.answered(other, "another client");
+  other.connection.write("GET /healthz HTTP/1.1\r\n\r\n");
+  scene.print_answer(other, "another client");
 }
 
-std::string since(const SteppedTime& clock, Duration from) {
+std::string elapsed(const ManualClock& clock, Duration from) {
   return std::to_string((clock.steady() - from) / 10ms * 10) + " ms";
 }
 
-std::string list_of(int index, const std::string& entries, bool whole = true) {
+std::string list_json(int index, const std::string& entries, bool whole = true) {
   return "{\"index\":" + std::to_string(index) + ",\"snapshot\":" + (whole ? "true" : "false") +
          ",\"endpoints\":[" + entries + "]}";
 }
 
-// Discovery's next call, and when it came.
-void asked(Scene& scene, Discovery& discovery, Duration from) {
-  scene.until("a call", [&] { return !discovery.asked.empty(); });
-  say("after " + since(*scene.stepped, from) + " discovery is asked " + discovery.asked.front());
-  discovery.asked.pop_front();
+// Waits for discovery's next request, and prints it with the time since `from`.
+void expect_list_request(Scene& scene, FakeDiscovery& discovery, Duration from) {
+  scene.run_until("a call", [&] { return !discovery.requests.empty(); });
+  print("after " + elapsed(*scene.manual_clock, from) + " discovery gets " + discovery.requests.front());
+  discovery.requests.pop_front();
 }
 
-// The server that the next multiget goes to.
-void goes_to(Scene& scene, Leaf& a, Leaf& b, const std::string& id) {
+// Sends a multiget, prints the server that it is sent to, and waits for the answer.
+void print_target(Scene& scene, FakeShardServer& a, FakeShardServer& b, const std::string& id) {
   Client client;
-  client.send(id, "issue", kOne);
-  scene.until("a frame", [&] { return !a.got.empty() || !b.got.empty(); });
-  Leaf& to = a.got.empty() ? b : a;
-  say(id + " goes to " + (&to == &a ? "A" : "B"));
-  to.answer(to.got.front().wire, id + ".1", "S 1 -", "v");
-  to.got.clear();
-  scene.until("an answer", [&] { return client.answered(); });
+  client.send(id, "issue", kOnePart);
+  scene.run_until("a frame", [&] { return !a.frames.empty() || !b.frames.empty(); });
+  FakeShardServer& to = a.frames.empty() ? b : a;
+  print(id + " is sent to " + (&to == &a ? "A" : "B"));
+  to.answer(to.frames.front().connection, id + ".1", "S 1 -", "v");
+  to.frames.clear();
+  scene.run_until("an answer", [&] { return client.answered(); });
 }
 
-// A watch falls silent: its answer is missed a quarter of a second after the wait, another call is made
-// beside it, and what that one says holds. What was missed counts as told 2 s after the wait, or at once
-// where the call is given up.
+// A watch falls silent: its response is overdue a quarter of a second after the wait time, a second request
+// is made in parallel, and the list takes what that one says. A missed change counts as known 2 s after the
+// wait time, or at once if the request is abandoned.
 void list_overdue() {
-  Leaf a(11), b(12);
-  Discovery discovery(2);
-  SteppedTime clock;
-  Scene scene(entry("A", 11), clock);
-  scene.hosts = {&a, &b, &discovery};
+  FakeShardServer a(11), b(12);
+  FakeDiscovery discovery(2);
+  ManualClock clock;
+  Scene scene(list_entry("A", 11), clock);
+  scene.fake_servers = {&a, &b, &discovery};
   const Duration start = clock.steady();
-  asked(scene, discovery, start);
-  discovery.answer(list_of(5, entry("A", 11)));
-  asked(scene, discovery, start);
-  Wire* const silent = discovery.last;
-  asked(scene, discovery, start);
-  say(silent->take().empty() && silent->ended ? "THE WAIT IS GIVEN UP FOR IT" : "beside the wait");
-  discovery.answer(list_of(6, entry("A", 11, "draining") + "," + entry("B", 12)));
-  asked(scene, discovery, start);
-  scene.until("the end of the silent call", [&] { return silent->take().empty() && silent->ended; });
-  goes_to(scene, a, b, "m");
-  // And where the second call is silent too: by the account, the next is out before 6 s are over.
-  asked(scene, discovery, start);
-  asked(scene, discovery, start);
-  // The wait speaks after all: the call beside it is not needed.
-  discovery.answer(list_of(6, "", false));
-  asked(scene, discovery, start);
-  Wire* const wait = discovery.last;
-  asked(scene, discovery, start);
-  Wire* const second = discovery.last;
-  discovery.last = wait;
-  discovery.answer(list_of(7, entry("A", 11), false));
-  asked(scene, discovery, start);
-  say(discovery.last == wait ? "goes on where the wait was answered" : "GOES ON ELSEWHERE");
-  say(second->take().empty() && second->ended ? "the other is hung up" : "THE OTHER STAYS");
+  expect_list_request(scene, discovery, start);
+  discovery.answer(list_json(5, list_entry("A", 11)));
+  expect_list_request(scene, discovery, start);
+  Connection* const silent = discovery.last_connection;
+  expect_list_request(scene, discovery, start);
+  print(silent->read_available().empty() && silent->ended ? "THE WATCH IS CLOSED FOR IT"
+                                                          : "in parallel to the watch");
+  discovery.answer(list_json(6, list_entry("A", 11, "draining") + "," + list_entry("B", 12)));
+  expect_list_request(scene, discovery, start);
+  scene.run_until("the end of the silent call",
+                  [&] { return silent->read_available().empty() && silent->ended; });
+  print_target(scene, a, b, "m");
+  // The second request is silent too: the next one must be sent before 6 s are over.
+  expect_list_request(scene, discovery, start);
+  expect_list_request(scene, discovery, start);
+  // The watch responds after all, so the parallel request is not needed.
+  discovery.answer(list_json(6, "", false));
+  expect_list_request(scene, discovery, start);
+  Connection* const wait = discovery.last_connection;
+  expect_list_request(scene, discovery, start);
+  Connection* const second = discovery.last_connection;
+  discovery.last_connection = wait;
+  discovery.answer(list_json(7, list_entry("A", 11), false));
+  expect_list_request(scene, discovery, start);
+  print(discovery.last_connection == wait ? "continues on the watch's connection"
+                                          : "CONTINUES ON ANOTHER CONNECTION");
+  print(second->read_available().empty() && second->ended ? "the parallel request is closed"
+                                                          : "THE PARALLEL REQUEST STAYS OPEN");
 }
 
-// An answer without a length ends with its connection; a reset is no end, whatever of it can be read.
+// A response without a length ends when its connection is closed in order. A reset is not such an end, even
+// if the body received so far can be parsed.
 void list_reset() {
-  Leaf a(11), b(12);
-  Discovery discovery(2);
-  SteppedTime clock;
-  Scene scene(entry("A", 11), clock);
-  scene.hosts = {&a, &b, &discovery};
+  FakeShardServer a(11), b(12);
+  FakeDiscovery discovery(2);
+  ManualClock clock;
+  Scene scene(list_entry("A", 11), clock);
+  scene.fake_servers = {&a, &b, &discovery};
   const std::string unstated = "HTTP/1.1 200 OK\r\n\r\n";
   const Duration start = clock.steady();
-  asked(scene, discovery, start);
-  discovery.last->put(unstated + list_of(5, entry("B", 12)));
-  discovery.last->reset();
-  asked(scene, discovery, start);
-  goes_to(scene, a, b, "m1");
-  discovery.last->put(unstated + list_of(6, entry("B", 12)));
-  discovery.last->fd.close();
-  asked(scene, discovery, start);
-  goes_to(scene, a, b, "m2");
+  expect_list_request(scene, discovery, start);
+  discovery.last_connection->write(unstated + list_json(5, list_entry("B", 12)));
+  discovery.last_connection->reset();
+  expect_list_request(scene, discovery, start);
+  print_target(scene, a, b, "m1");
+  discovery.last_connection->write(unstated + list_json(6, list_entry("B", 12)));
+  discovery.last_connection->fd.close();
+  expect_list_request(scene, discovery, start);
+  print_target(scene, a, b, "m2");
 }
 
-// What was taken before a planned stop, with time left beyond the end by force, has its final answer before
-// that, 3.7 s after the signal, also where only its second step is out; what ends in time is answered whole.
+// A multiget accepted before a planned stop, with a timeout beyond the forced end 3.7 s after the signal,
+// gets its final answer before that end, also if only its second step is outstanding. If it completes in
+// time, its answer is complete.
 void stop_outlasted() {
   for (const bool ends : {true, false}) {
-    Leaf leaf(11);
-    SteppedTime clock;
-    Scene scene(entry("A", 11), clock);
-    scene.hosts = {&leaf};
+    FakeShardServer server(11);
+    ManualClock clock;
+    Scene scene(list_entry("A", 11), clock);
+    scene.fake_servers = {&server};
     Client client;
-    client.send("m", "draft", kOne);
-    auto got = scene.next(leaf, "leaf");
-    const Duration told = clock.steady();
+    client.send("m", "draft", kOnePart);
+    auto frame = scene.next_frame(server, "shard server");
+    const Duration stop_begun = clock.steady();
     scene.gatherer.begin_stop();
-    scene.pass(3200ms);
-    leaf.answer(got.wire, "m.1", "S 1 -", "v");
-    got = scene.next(leaf, "leaf");
-    if (ends) leaf.answer(got.wire, "m.1.phase2", "S 1 -", "w");
-    scene.answered(client, "client");
-    say(clock.steady() < told + 3600ms ? "in time" : "LATE");
-    client.wire.fd.close();
-    scene.until("the end", [&] { return !scene.running; });
+    scene.advance(3200ms);
+    server.answer(frame.connection, "m.1", "S 1 -", "v");
+    frame = scene.next_frame(server, "shard server");
+    if (ends) server.answer(frame.connection, "m.1.phase2", "S 1 -", "w");
+    scene.print_answer(client, "client");
+    print(clock.steady() < stop_begun + 3600ms ? "in time" : "LATE");
+    client.connection.fd.close();
+    scene.run_until("the end", [&] { return !scene.running; });
   }
 }
 
-// Discovery is away for long and comes back at the worst moment: right after a call that nobody takes up. The
-// next one is made, and its answer read, before 6 s are over.
+// Discovery is unreachable for long and returns at the worst moment, right after a failed request. The
+// next request is made and its response read before 6 s are over.
 void list_back() {
-  Leaf a(11), b(12);
-  SteppedTime clock;
-  Scene scene(entry("A", 11), clock);
-  scene.hosts = {&a, &b};
-  scene.pass(20s);
-  Discovery discovery(2);
-  scene.hosts.push_back(&discovery);
+  FakeShardServer a(11), b(12);
+  ManualClock clock;
+  Scene scene(list_entry("A", 11), clock);
+  scene.fake_servers = {&a, &b};
+  scene.advance(20s);
+  FakeDiscovery discovery(2);
+  scene.fake_servers.push_back(&discovery);
   const Duration back = clock.steady();
-  scene.until("a call", [&] { return !discovery.asked.empty(); });
-  say(clock.steady() - back <= 3250ms ? "asked within 3.25 s of its return" : "ASKED LATE");
-  discovery.asked.clear();
+  scene.run_until("a call", [&] { return !discovery.requests.empty(); });
+  print(clock.steady() - back <= 3250ms ? "requested within 3.25 s of its return" : "REQUESTED LATE");
+  discovery.requests.clear();
   const Duration hangs = clock.steady();
-  asked(scene, discovery, hangs);
-  scene.pass(2400ms);
-  discovery.answer(list_of(5, entry("B", 12)));
-  scene.until("a call", [&] { return !discovery.asked.empty(); });
-  goes_to(scene, a, b, "m");
-  say(clock.steady() - hangs < 6s ? "known before it counts as told" : "KNOWN TOO LATE");
+  expect_list_request(scene, discovery, hangs);
+  scene.advance(2400ms);
+  discovery.answer(list_json(5, list_entry("B", 12)));
+  scene.run_until("a call", [&] { return !discovery.requests.empty(); });
+  print_target(scene, a, b, "m");
+  print(clock.steady() - hangs < 6s ? "known in time" : "KNOWN TOO LATE");
 }
 
-// Where the list is pushed, what the agent has counts at once: a watch that is reset is opened anew at once.
+// Where the list is pushed, changes count as known at once, so a watch that is reset is reopened at once.
 void list_pushed_reset() {
-  Leaf a(11), b(12);
-  Discovery discovery(2);
-  SteppedTime clock;
-  Scene scene(entry("A", 11), clock, {{R"("registry-mode":"ask",)", ""}});
-  scene.hosts = {&a, &b, &discovery};
+  FakeShardServer a(11), b(12);
+  FakeDiscovery discovery(2);
+  ManualClock clock;
+  Scene scene(list_entry("A", 11), clock, {{R"("registry-mode":"ask",)", ""}});
+  scene.fake_servers = {&a, &b, &discovery};
   const Duration start = clock.steady();
-  asked(scene, discovery, start);
-  discovery.answer(list_of(5, entry("A", 11)));
-  asked(scene, discovery, start);
-  discovery.last->reset();
-  asked(scene, discovery, start);
-  discovery.answer(list_of(6, entry("A", 11, "draining") + "," + entry("B", 12)));
-  asked(scene, discovery, start);
-  goes_to(scene, a, b, "m");
+  expect_list_request(scene, discovery, start);
+  discovery.answer(list_json(5, list_entry("A", 11)));
+  expect_list_request(scene, discovery, start);
+  discovery.last_connection->reset();
+  expect_list_request(scene, discovery, start);
+  discovery.answer(list_json(6, list_entry("A", 11, "draining") + "," + list_entry("B", 12)));
+  expect_list_request(scene, discovery, start);
+  print_target(scene, a, b, "m");
 }
 
-// The list takes a server out in the very turn in which a request for it comes in.
+// The list marks a server as draining in the same turn in which a multiget for it arrives.
 void list_same_turn() {
-  Leaf a(11), b(12);
-  Discovery discovery(2);
-  SteppedTime clock;
-  Scene scene(entry("A", 11), clock);
-  scene.hosts = {&a, &b, &discovery};
-  asked(scene, discovery, clock.steady());
-  discovery.answer(list_of(5, entry("A", 11)));
-  asked(scene, discovery, clock.steady());
-  discovery.answer(list_of(6, entry("A", 11, "draining") + "," + entry("B", 12)));
-  goes_to(scene, a, b, "m");
+  FakeShardServer a(11), b(12);
+  FakeDiscovery discovery(2);
+  ManualClock clock;
+  Scene scene(list_entry("A", 11), clock);
+  scene.fake_servers = {&a, &b, &discovery};
+  expect_list_request(scene, discovery, clock.steady());
+  discovery.answer(list_json(5, list_entry("A", 11)));
+  expect_list_request(scene, discovery, clock.steady());
+  discovery.answer(list_json(6, list_entry("A", 11, "draining") + "," + list_entry("B", 12)));
+  print_target(scene, a, b, "m");
 }
 
-// Discovery says this, and then three multigets come.
-void told(Scene& scene, Discovery& discovery, Leaf& a, Leaf& b, int index, const std::string& entries) {
-  scene.until("a call", [&] { return !discovery.asked.empty(); });
-  discovery.asked.clear();
-  discovery.answer(list_of(index, entries));
-  scene.until("its being read", [&] { return !discovery.asked.empty(); });
-  for (const char* one : {"-1", "-2", "-3"}) goes_to(scene, a, b, "m" + std::to_string(index) + one);
+// Answers discovery's pending request with these entries, then sends three multigets.
+void answer_list(Scene& scene, FakeDiscovery& discovery, FakeShardServer& a, FakeShardServer& b, int index,
+                 const std::string& entries) {
+  scene.run_until("a call", [&] { return !discovery.requests.empty(); });
+  discovery.requests.clear();
+  discovery.answer(list_json(index, entries));
+  scene.run_until("its being read", [&] { return !discovery.requests.empty(); });
+  for (const char* one : {"-1", "-2", "-3"}) print_target(scene, a, b, "m" + std::to_string(index) + one);
 }
 
-// An entry of a whole list that cannot be read leaves its server as it was: up, draining, or unknown, also
-// where the zones were numbered anew meanwhile. Without a name it is nobody's, and its server gone like any
-// that a whole list does not name.
+// An unparsable entry of a complete list leaves its server as it was: up, draining or unknown, also after the
+// zones were renumbered. An entry without a name belongs to no server, and a server that a complete list does
+// not name is gone.
 void list_unreadable_entry() {
-  Leaf a(11), b(12);
-  Discovery discovery(2);
-  SteppedTime clock;
-  Scene scene(entry("A", 11) + "," + entry("B", 12), clock);
-  scene.hosts = {&a, &b, &discovery};
+  FakeShardServer a(11), b(12);
+  FakeDiscovery discovery(2);
+  ManualClock clock;
+  Scene scene(list_entry("A", 11) + "," + list_entry("B", 12), clock);
+  scene.fake_servers = {&a, &b, &discovery};
   const std::string bad_group =
       R"({"name":"A","address":")" + address(11) + R"(","zone":"a","group":9,"status":"ready"})";
   const std::string bad_address = R"({"name":"B","address":"nowhere","zone":"a","status":"ready"})";
-  say("A's status cannot be read, B drains");
-  told(scene, discovery, a, b, 5, entry("A", 11, "bogus") + "," + entry("B", 12, "draining"));
-  say("A drains, B is ready");
-  told(scene, discovery, a, b, 6, entry("A", 11, "draining") + "," + entry("B", 12));
-  say("A's group cannot be read, nor can a server's entry that was never known");
-  told(scene, discovery, a, b, 7, bad_group + "," + entry("B", 12) + "," + entry("C", 13, "bogus"));
-  say("A is ready, B gone");
-  told(scene, discovery, a, b, 8, entry("A", 11));
-  say("A is ready, B's address cannot be read: it stays gone");
-  told(scene, discovery, a, b, 9, entry("A", 11) + "," + bad_address);
-  say("A's group cannot be read, while a part is out there, and it is not the first zone any more");
+  print("A's status is invalid, B drains");
+  answer_list(scene, discovery, a, b, 5,
+              list_entry("A", 11, "bogus") + "," + list_entry("B", 12, "draining"));
+  print("A drains, B is ready");
+  answer_list(scene, discovery, a, b, 6, list_entry("A", 11, "draining") + "," + list_entry("B", 12));
+  print("A's group is invalid, and so is the entry of an unknown server");
+  answer_list(scene, discovery, a, b, 7,
+              bad_group + "," + list_entry("B", 12) + "," + list_entry("C", 13, "bogus"));
+  print("A is ready, B gone");
+  answer_list(scene, discovery, a, b, 8, list_entry("A", 11));
+  print("A is ready, B's address is invalid: B stays gone");
+  answer_list(scene, discovery, a, b, 9, list_entry("A", 11) + "," + bad_address);
+  print("A's group is invalid while A has an outstanding part, and its zone is no longer the first");
   Client client;
-  client.send("m", "issue", kOne);
-  const auto out = scene.next(a, "A");
-  discovery.asked.clear();  // another call is made
+  client.send("m", "issue", kOnePart);
+  const auto out = scene.next_frame(a, "A");
+  discovery.requests.clear();  // another call is made
   scene.reload({{R"("zones":["a"])", R"("zones":["z","a"])"}});
-  told(scene, discovery, a, b, 10, bad_group);
-  a.answer(out.wire, "m.1", "S 1 -", "v");
-  scene.answered(client, "client");
-  say("an entry without a name, B is ready");
-  told(scene, discovery, a, b, 11, R"({"name":7,"zone":"a","status":"ready"},)" + entry("B", 12));
-  say("A is ready, B drains");
-  told(scene, discovery, a, b, 12, entry("A", 11) + "," + entry("B", 12, "draining"));
-  say("A's zone is no more, and its group cannot be read");
-  discovery.asked.clear();
+  answer_list(scene, discovery, a, b, 10, bad_group);
+  a.answer(out.connection, "m.1", "S 1 -", "v");
+  scene.print_answer(client, "client");
+  print("an entry without a name, B is ready");
+  answer_list(scene, discovery, a, b, 11, R"({"name":7,"zone":"a","status":"ready"},)" + list_entry("B", 12));
+  print("A is ready, B drains");
+  answer_list(scene, discovery, a, b, 12, list_entry("A", 11) + "," + list_entry("B", 12, "draining"));
+  print("A's zone is removed, and its group is invalid");
+  discovery.requests.clear();
   scene.reload({{R"("zones":["a"])", R"("zones":["z"])"}});
-  std::string in_z = entry("B", 12);
+  std::string in_z = list_entry("B", 12);
   in_z.replace(in_z.find(R"("zone":"a")"), 10, R"("zone":"z")");
-  told(scene, discovery, a, b, 13, bad_group + "," + in_z);
+  answer_list(scene, discovery, a, b, 13, bad_group + "," + in_z);
 }
 
-// All watches fall silent at once, then a quarter of the servers drain and stay up, under traffic; discovery
-// answers whoever asks anew. Nothing is sent to who drains once the grace after it counts as told is over: 2
-// s after the wait.
+// All watches fall silent at the same time, then a quarter of the servers drain but stay up, under traffic;
+// discovery answers new requests. A change counts as known 2 s after the wait time; once the grace period
+// after that is over, nothing is sent to a draining server.
 void silent_and_draining() {
   for (const bool pushed : {false, true}) {
-    std::list<Leaf> leaves;
+    std::list<FakeShardServer> shard_servers;
     std::string all;
     for (int i = 0; i < 4; ++i) {
-      leaves.emplace_back(11 + i);
-      all += (i > 0 ? "," : "") + entry(std::string(1, static_cast<char>('A' + i)), 11 + i);
+      shard_servers.emplace_back(11 + i);
+      all += (i > 0 ? "," : "") + list_entry(std::string(1, static_cast<char>('A' + i)), 11 + i);
     }
-    Discovery discovery(2);
-    SteppedTime clock;
+    FakeDiscovery discovery(2);
+    ManualClock clock;
     Changes changes;
     if (pushed) changes.push_back({R"("registry-mode":"ask",)", ""});
     Scene scene(all, clock, changes);
-    for (Leaf& leaf : leaves) scene.hosts.push_back(&leaf);
-    scene.hosts.push_back(&discovery);
-    asked(scene, discovery, clock.steady());
-    discovery.answer(list_of(5, all));
-    asked(scene, discovery, clock.steady());
+    for (FakeShardServer& server : shard_servers) scene.fake_servers.push_back(&server);
+    scene.fake_servers.push_back(&discovery);
+    expect_list_request(scene, discovery, clock.steady());
+    discovery.answer(list_json(5, all));
+    expect_list_request(scene, discovery, clock.steady());
     const Duration silent = clock.steady();
     Duration last{};
     int sent = 0, to_it = 0;
     Client client;
     while (clock.steady() < silent + 16s) {
-      client.send("m" + std::to_string(sent++), "issue", kOne);
-      scene.until("an answer", [&] {
-        for (Leaf& leaf : leaves) {
-          for (const Leaf::Got& got : std::exchange(leaf.got, {})) {
-            if (got.text[0] != '1') continue;
-            leaf.answer(got.wire, got.text.substr(2, got.text.find(' ', 2) - 2), "S 1 -", "v");
-            if (&leaf == &leaves.back()) last = clock.steady(), ++to_it;
+      client.send("m" + std::to_string(sent++), "issue", kOnePart);
+      scene.run_until("an answer", [&] {
+        for (FakeShardServer& server : shard_servers) {
+          for (const FakeShardServer::Frame& frame : std::exchange(server.frames, {})) {
+            if (frame.text[0] != '1') continue;
+            server.answer(frame.connection, frame.text.substr(2, frame.text.find(' ', 2) - 2), "S 1 -", "v");
+            if (&server == &shard_servers.back()) last = clock.steady(), ++to_it;
           }
         }
-        // Who drains is known a second after the silence began, to whoever asks without waiting.
-        for (; !discovery.asked.empty(); discovery.asked.pop_front()) {
-          if (discovery.asked.front().ends_with("wait=0"))
-            discovery.answer(list_of(6, entry("D", 14, "draining"), false));
+        // From one second after the silence began, requests without a wait time learn of the draining server.
+        for (; !discovery.requests.empty(); discovery.requests.pop_front()) {
+          if (discovery.requests.front().ends_with("wait=0"))
+            discovery.answer(list_json(6, list_entry("D", 14, "draining"), false));
         }
         return client.answered();
       });
-      if (client.text.find(" 200 ") == std::string::npos) say("NOT SERVED: " + client.text);
+      if (client.text.find(" 200 ") == std::string::npos) print("NOT SERVED: " + client.text);
       client.text.clear();
-      scene.pass(5ms);
+      scene.advance(5ms);
     }
-    say(std::string(pushed ? "pushed: " : "asked: ") +
-        (to_it > 20 ? "it had its part of the traffic" : "IT HAD NONE") +
-        (last < silent + 12s + 500ms ? ", and nothing past the grace" : ", AND MORE PAST THE GRACE"));
+    print(std::string(pushed ? "pushed: " : "polled: ") +
+          (to_it > 20 ? "the draining server had its share of the traffic"
+                      : "THE DRAINING SERVER HAD NO TRAFFIC") +
+          (last < silent + 12s + 500ms ? ", and none after the grace period"
+                                       : ", AND MORE AFTER THE GRACE PERIOD"));
   }
 }
 
-// A process is ready, and serves by the list that it was given, while discovery is away, or takes its call
-// and says nothing.
+// A gatherer is ready and serves from the list in its configuration while discovery is unreachable, or
+// accepts its request and does not respond.
 void ready_without_list() {
   for (const bool hangs : {false, true}) {
-    Leaf leaf(11);
-    std::optional<Discovery> discovery;
+    FakeShardServer server(11);
+    std::optional<FakeDiscovery> discovery;
     if (hangs) discovery.emplace(2);
-    SteppedTime clock;
-    Scene scene(entry("A", 11), clock);
-    scene.hosts = {&leaf};
-    if (hangs) scene.hosts.push_back(&*discovery);
+    ManualClock clock;
+    Scene scene(list_entry("A", 11), clock);
+    scene.fake_servers = {&server};
+    if (hangs) scene.fake_servers.push_back(&*discovery);
     Client probe, client;
-    probe.wire.put("GET /healthz HTTP/1.1\r\n\r\n");
-    client.send("m", "issue", kOne);
-    const auto got = scene.next(leaf, "leaf");
-    leaf.answer(got.wire, "m.1", "S 1 -", "v");
-    scene.answered(client, "client");
-    scene.answered(probe, "who asks whether it is ready");
-    say(clock.steady() - 1h < 100ms ? "within 0.1 s" : "LATE");
+    probe.connection.write("GET /healthz HTTP/1.1\r\n\r\n");
+    client.send("m", "issue", kOnePart);
+    const auto frame = scene.next_frame(server, "shard server");
+    server.answer(frame.connection, "m.1", "S 1 -", "v");
+    scene.print_answer(client, "client");
+    scene.print_answer(probe, "the health check");
+    print(clock.steady() - 1h < 100ms ? "within 0.1 s" : "LATE");
   }
 }
 
-// The room for clients follows the list, also from an empty one at the start: idle ones beyond it are let go.
+// The limit of client connections follows the size of the list, also from an empty one at the start; idle
+// connections beyond it are closed.
 void room_follows_list() {
-  Discovery discovery(2);
-  SteppedTime clock;
+  FakeDiscovery discovery(2);
+  ManualClock clock;
   Scene scene("", clock);
-  scene.hosts = {&discovery};
-  asked(scene, discovery, clock.steady());
+  scene.fake_servers = {&discovery};
+  expect_list_request(scene, discovery, clock.steady());
   std::list<Client> idle(120);
-  for (Client& client : idle) client.wire.put("GET /healthz HTTP/1.1\r\n\r\n");
-  scene.until("answers", [&] {
+  for (Client& client : idle) client.connection.write("GET /healthz HTTP/1.1\r\n\r\n");
+  scene.run_until("answers", [&] {
     return std::all_of(idle.begin(), idle.end(), [](Client& client) { return client.answered(); });
   });
-  scene.pass(3s);
+  scene.advance(3s);
   const auto kept = [&] {
     return std::to_string(std::count_if(idle.begin(), idle.end(), [](Client& client) {
-      client.wire.take();
-      return !client.wire.ended;
+      client.connection.read_available();
+      return !client.connection.ended;
     }));
   };
-  say("of 120 idle clients " + kept() + " are kept with an empty list of 191 descriptors");
+  print("of 120 idle clients " + kept() + " are kept with an empty list and 191 descriptors");
   std::string servers;
-  for (int i = 0; i < 30; ++i) servers += (i > 0 ? "," : "") + entry("s" + std::to_string(i), 11 + i);
-  scene.until("a call", [&] { return !discovery.asked.empty(); });
-  discovery.answer(list_of(5, servers));
-  scene.pass(1s);
-  say("and " + kept() + " with thirty servers");
+  for (int i = 0; i < 30; ++i) servers += (i > 0 ? "," : "") + list_entry("s" + std::to_string(i), 11 + i);
+  scene.run_until("a call", [&] { return !discovery.requests.empty(); });
+  discovery.answer(list_json(5, servers));
+  scene.advance(1s);
+  print("and " + kept() + " with thirty servers");
 }
 
-// A client that closes behind more than this side will hold has gone all the same; so has one that ends only
-// its side.
+// A client's disconnect is noticed even if it sent more data before than the gatherer buffers; so is a
+// shutdown of the sending direction only.
 void client_gone_unread() {
-  Leaf leaf(11);
-  SteppedTime clock;
-  Scene scene(entry("A", 11), clock);
-  scene.hosts = {&leaf};
+  FakeShardServer server(11);
+  ManualClock clock;
+  Scene scene(list_entry("A", 11), clock);
+  scene.fake_servers = {&server};
   for (const char* how : {"closes", "ends its side"}) {
     Client client;
-    client.send(std::string("m-") + how[0], "issue", kOne);
-    scene.next(leaf, "leaf");
-    client.wire.put(std::string(150'000, 'x'));
-    scene.pass(10ms);
+    client.send(std::string("m-") + how[0], "issue", kOnePart);
+    scene.next_frame(server, "shard server");
+    client.connection.write(std::string(150'000, 'x'));
+    scene.advance(10ms);
     const Duration gone = clock.steady();
     if (*how == 'c') {
-      client.wire.fd.close();
+      client.connection.fd.close();
     } else {
-      shutdown(client.wire.fd.get(), SHUT_WR);
+      shutdown(client.connection.fd.get(), SHUT_WR);
     }
-    scene.next(leaf, (std::string("who ") + how + ": leaf").c_str());
-    say(clock.steady() - gone < 100ms ? "within 0.1 s" : "LATE");
+    scene.next_frame(server, (std::string("client that ") + how + ": shard server").c_str());
+    print(clock.steady() - gone < 100ms ? "within 0.1 s" : "LATE");
   }
 }
 
-// Who waits to be accepted where nobody else comes in, until it is emptied: then a connect that was under way
-// comes up when its machine tries again, a second after.
+// A listener with a full accept queue. Once it is emptied, a pending connect succeeds when the kernel
+// retransmits its SYN, one second later.
 struct FullListener {
   explicit FullListener(int last) : listener(net::listen_on(*net::parse_address(address(last)))) {
-    if (listen(listener.get(), 0) != 0) say("CANNOT LISTEN");
+    if (listen(listener.get(), 0) != 0) print("CANNOT LISTEN");
     for (int i = 0; i < 2; ++i) fillers.push_back(net::start_connect(*net::parse_address(address(last))));
   }
   void empty() {
     while (net::accept_from(listener.get())) {
     }
   }
-  std::string heard() {
-    if (net::Descriptor fd = net::accept_from(listener.get())) wires.push_back({std::move(fd)});
-    for (Wire& wire : wires) text += wire.take();
+  std::string received() {
+    if (net::Descriptor fd = net::accept_from(listener.get())) connections.push_back({std::move(fd)});
+    for (Connection& connection : connections) text += connection.read_available();
     return text;
   }
   net::Descriptor listener;
   std::list<net::Descriptor> fillers;
-  std::list<Wire> wires;
+  std::list<Connection> connections;
   std::string text;
 };
 
-// A client leaves while its part waits for a connection to come up, and the terms let nothing be cancelled
-// that was sent: it is not written when the connection is there.
+// A client disconnects while its part waits for a connection, and the settings do not allow cancelling sends.
+// The part is not written once the connection is established.
 void client_gone_dialling() {
   FullListener full(11);
-  Scene scene(entry("A", 11), "20000000", "30000000", "5000", {{R"("cancel":true)", R"("cancel":false)"}});
+  Scene scene(list_entry("A", 11), "20000000", "30000000", "5000",
+              {{R"("cancel":true)", R"("cancel":false)"}});
   Client client, other;
-  client.send("m1", "draft", kOne);
-  scene.until("a dial", [&] { return scene.gatherer.tally().sends > 0; });
-  client.wire.fd.close();
+  client.send("m1", "draft", kOnePart);
+  scene.run_until("a dial", [&] { return scene.gatherer.tally().sends > 0; });
+  client.connection.fd.close();
   const auto gone = std::chrono::steady_clock::now();
-  scene.until("0.1 s", [&] { return std::chrono::steady_clock::now() > gone + 100ms; });
+  scene.run_until("0.1 s", [&] { return std::chrono::steady_clock::now() > gone + 100ms; });
   full.empty();
-  other.send("m2", "draft", kOne);
-  scene.until("a frame", [&] { return full.heard().find("m") != std::string::npos; });
-  say(full.heard().find("m1") == std::string::npos ? "the part of who left is not written"
-                                                   : "WRITTEN FOR NOBODY");
+  other.send("m2", "draft", kOnePart);
+  scene.run_until("a frame", [&] { return full.received().find("m") != std::string::npos; });
+  print(full.received().find("m1") == std::string::npos ? "the part of the disconnected client is not written"
+                                                        : "WRITTEN FOR A DISCONNECTED CLIENT");
 }
 
-// The window of a deduped part is over while its repeat waits for a connection: the repeat is not written,
-// and ends as never sent; what shares its call is.
+// The dedupe window of a part ends while its repeat waits for a connection: the repeat is not written and
+// ends as never sent, while other parts of the same call are written.
 void window_over() {
   FullListener full(11);
-  const Scene scene(entry("A", 11));
+  const Scene scene(list_entry("A", 11));
   net::Loop loop;
   loop.read_clock();
   servers::Servers servers(loop, scene.gatherer_config.settings, 7, [] { return false; });
   servers.listed(
-      list::read_news(config::parse(list_of(5, entry("A", 11))), scene.gatherer_config.settings, 0s));
+      list::read_news(config::parse(list_json(5, list_entry("A", 11))), scene.gatherer_config.settings, 0s));
   std::vector<servers::Errand> errands(2);
   for (servers::Errand& errand : errands) {
     const bool first = &errand == &errands.front();
@@ -447,100 +460,103 @@
   const Duration begun = loop.now();
   until([&] { return loop.now() > begun + 300ms; });
   full.empty();
-  until([&] { return full.heard().find("other.1") != std::string::npos; });
-  say(full.heard().find("other.1") != std::string::npos ? "the other part is written" : "NOTHING IS WRITTEN");
-  say(full.heard().find("repeat.1") == std::string::npos ? "the repeat is not" : "THE REPEAT IS WRITTEN");
+  until([&] { return full.received().find("other.1") != std::string::npos; });
+  print(full.received().find("other.1") != std::string::npos ? "the other part is written"
+                                                             : "NOTHING IS WRITTEN");
+  print(full.received().find("repeat.1") == std::string::npos ? "the repeat is not written"
+                                                              : "THE REPEAT IS WRITTEN");
   for (const servers::Ended& one : servers.ended)
-    say(one.fate == Fate::unused ? "it ends as never sent" : "IT ENDS OTHERWISE");
+    print(one.fate == Fate::unused ? "it ends as never sent" : "IT ENDS OTHERWISE");
 }
 
-// A close in the very round in which an answer frees a part, and one while a part rests before it goes round
-// again.
+// A client disconnects in the same turn in which an error answer makes its part eligible for a retry, and
+// another one while its part waits for the retry.
 void client_gone_in_round() {
-  Leaf leaf(11);
-  SteppedTime clock;
-  Scene scene(entry("A", 11), clock);
-  scene.hosts = {&leaf};
+  FakeShardServer server(11);
+  ManualClock clock;
+  Scene scene(list_entry("A", 11), clock);
+  scene.fake_servers = {&server};
   Client same_round, resting;
-  same_round.send("m1", "draft", kOne);
-  auto got = scene.next(leaf, "leaf");
-  leaf.answer(got.wire, "m1.1", "E - -", "");
-  same_round.wire.fd.close();
-  scene.pass(1s);
-  say("frames after it: " + std::to_string(leaf.got.size()));
-  resting.send("m2", "draft", kOne);
-  got = scene.next(leaf, "leaf");
-  leaf.answer(got.wire, "m2.1", "E - -", "");
-  scene.pass(20ms);
-  resting.wire.fd.close();
-  scene.pass(1s);
-  say("frames after that: " + std::to_string(leaf.got.size()));
+  same_round.send("m1", "draft", kOnePart);
+  auto frame = scene.next_frame(server, "shard server");
+  server.answer(frame.connection, "m1.1", "E - -", "");
+  same_round.connection.fd.close();
+  scene.advance(1s);
+  print("frames after the first disconnect: " + std::to_string(server.frames.size()));
+  resting.send("m2", "draft", kOnePart);
+  frame = scene.next_frame(server, "shard server");
+  server.answer(frame.connection, "m2.1", "E - -", "");
+  scene.advance(20ms);
+  resting.connection.fd.close();
+  scene.advance(1s);
+  print("frames after the second disconnect: " + std::to_string(server.frames.size()));
 }
 
-// A planned stop ends resting connections in order: a request that comes between the last look and the end is
-// not taken up, and does not reset the connection. Who has only just come gets the time to ask, and half a
-// request is answered.
+// A planned stop closes idle connections in order: a request that arrives between the last read and the close
+// is not accepted, and does not reset the connection. A new connection gets time for its first request, and
+// an incomplete request gets an error response.
 void stop_crossed() {
-  Leaf leaf(11);
-  SteppedTime clock;
-  Scene scene(entry("A", 11), clock);
-  scene.hosts = {&leaf};
+  FakeShardServer server(11);
+  ManualClock clock;
+  Scene scene(list_entry("A", 11), clock);
+  scene.fake_servers = {&server};
   Client resting, half;
-  half.wire.put("POST /api HTT");
-  resting.send("m1", "issue", kOne);
-  auto got = scene.next(leaf, "leaf");
-  leaf.answer(got.wire, "m1.1", "S 1 -", "v");
-  scene.answered(resting, "client");
+  half.connection.write("POST /api HTT");
+  resting.send("m1", "issue", kOnePart);
+  auto frame = scene.next_frame(server, "shard server");
+  server.answer(frame.connection, "m1.1", "S 1 -", "v");
+  scene.print_answer(resting, "client");
   scene.gatherer.begin_stop();
   scene.gatherer.begin_stop();  // SIGTERM twice
-  // After what has come in was read and right behind the gatherer's own timer, in the turn that ends the
-  // resting ones.
-  scene.gatherer.loop().at(scene.gatherer.loop().now() + 400ms, [&] { resting.send("m2", "issue", kOne); });
-  scene.pass(300ms);
+  // After input has been read and right after the gatherer's own timer, in the turn that closes the idle
+  // connections.
+  scene.gatherer.loop().at(scene.gatherer.loop().now() + 400ms,
+                           [&] { resting.send("m2", "issue", kOnePart); });
+  scene.advance(300ms);
   Client fresh;
-  scene.until("its end", [&] { return resting.wire.take().empty() && resting.wire.ended; });
-  say(resting.wire.cut ? "CUT BY A RESET" : "the resting one ended in order");
-  resting.wire.fd.close();
-  scene.answered(half, "half a request");
-  fresh.send("m3", "issue", kOne);
-  got = scene.next(leaf, "leaf");
-  leaf.answer(got.wire, "m3.1", "S 1 -", "v");
-  scene.answered(fresh, "who had just come");
-  say("frames besides: " + std::to_string(leaf.got.size()));
-  half.wire.fd.close();
-  fresh.wire.fd.close();
-  scene.until("the end", [&] { return !scene.running; });
+  scene.run_until("its end",
+                  [&] { return resting.connection.read_available().empty() && resting.connection.ended; });
+  print(resting.connection.was_reset ? "CLOSED BY A RESET" : "the idle connection is closed in order");
+  resting.connection.fd.close();
+  scene.print_answer(half, "an incomplete request");
+  fresh.send("m3", "issue", kOnePart);
+  frame = scene.next_frame(server, "shard server");
+  server.answer(frame.connection, "m3.1", "S 1 -", "v");
+  scene.print_answer(fresh, "the new client");
+  print("further frames: " + std::to_string(server.frames.size()));
+  half.connection.fd.close();
+  fresh.connection.fd.close();
+  scene.run_until("the end", [&] { return !scene.running; });
 }
 
-// What nobody answers has its final answer well before the end by force, 3.7 s after the signal; the module's
-// last moment, the wait for sends that are under way and the write all come before that. Who then does not
-// close is not waited for.
+// A multiget that no server answers gets its final answer well before the forced end, 3.7 s after the signal:
+// the decision module's deadline, the wait for sends under way and the write all come before it. A client
+// that does not close afterwards is not waited for.
 void stop_in_time() {
-  Leaf leaf(11);
-  SteppedTime clock;
-  Scene scene(entry("A", 11), clock, {{R"("connect-timeout":250000)", R"("connect-timeout":20000000)"}});
-  scene.hosts = {&leaf};
+  FakeShardServer server(11);
+  ManualClock clock;
+  Scene scene(list_entry("A", 11), clock, {{R"("connect-timeout":250000)", R"("connect-timeout":20000000)"}});
+  scene.fake_servers = {&server};
   Client client;
-  scene.pass(10ms);
-  const Duration told = clock.steady();
+  scene.advance(10ms);
+  const Duration stop_begun = clock.steady();
   scene.gatherer.begin_stop();
-  scene.pass(300ms);
-  client.send("m", "issue", kOne);
-  scene.next(leaf, "leaf");
-  scene.answered(client, "client");
-  say(clock.steady() - told <= 3550ms ? "answered before the end by force" : "ANSWERED TOO LATE");
-  scene.until("the end", [&] { return !scene.running; });
-  say(clock.steady() - told < 3700ms ? "ended before it" : "ENDED BY FORCE");
+  scene.advance(300ms);
+  client.send("m", "issue", kOnePart);
+  scene.next_frame(server, "shard server");
+  scene.print_answer(client, "client");
+  print(clock.steady() - stop_begun <= 3550ms ? "answered before the forced end" : "ANSWERED TOO LATE");
+  scene.run_until("the end", [&] { return !scene.running; });
+  print(clock.steady() - stop_begun < 3700ms ? "ended before it" : "ENDED BY FORCE");
 }
 
-// A discovery whose own process has no descriptor to spare either: it gives one up for each call that comes
-// in.
-struct CrowdedDiscovery : Discovery {
-  using Discovery::Discovery;
-  void hear() override {
+// A fake discovery in a process without free descriptors: it releases one for each incoming connection.
+struct CrowdedDiscovery : FakeDiscovery {
+  using FakeDiscovery::FakeDiscovery;
+  void process_input() override {
     pollfd waits{listener.get(), POLLIN, 0};
-    if (poll(&waits, 1, 0) > 0 && !ballast.empty()) ballast.pop_back();
-    Discovery::hear();
+    if (::poll(&waits, 1, 0) > 0 && !ballast.empty()) ballast.pop_back();
+    FakeDiscovery::process_input();
   }
   void fill() {
     for (int fd; (fd = dup(0)) >= 0;) ballast.emplace_back(fd);
@@ -548,21 +564,21 @@
   std::list<net::Descriptor> ballast;
 };
 
-// Discovery goes, and clients take every descriptor that there is, that of the call to it as well: it is
-// called again all the same.
+// Discovery resets its connection, and clients take every descriptor, including the one just released:
+// discovery is asked again nevertheless.
 void descriptors_taken() {
-  Leaf leaf(11);
+  FakeShardServer server(11);
   CrowdedDiscovery discovery(2);
-  SteppedTime clock;
-  Scene scene(entry("A", 11), clock);
-  scene.hosts = {&leaf, &discovery};
-  asked(scene, discovery, clock.steady());
-  discovery.answer(list_of(5, entry("A", 11)));
-  asked(scene, discovery, clock.steady());
+  ManualClock clock;
+  Scene scene(list_entry("A", 11), clock);
+  scene.fake_servers = {&server, &discovery};
+  expect_list_request(scene, discovery, clock.steady());
+  discovery.answer(list_json(5, list_entry("A", 11)));
+  expect_list_request(scene, discovery, clock.steady());
   std::list<Client> idle(10);
   for (Client& client : idle) {
-    client.wire.put("GET /healthz HTTP/1.1\r\n\r\n");
-    scene.until("an answer", [&] { return client.answered(); });
+    client.connection.write("GET /healthz HTTP/1.1\r\n\r\n");
+    scene.run_until("an answer", [&] { return client.answered(); });
   }
   std::list<net::Descriptor> late;
   for (int i = 0; i < 10; ++i)
@@ -575,7 +591,7 @@
   limit.rlim_cur = static_cast<rlim_t>(top.get()) + 1;
   setrlimit(RLIMIT_NOFILE, &limit);
   discovery.fill();
-  discovery.last->reset();
+  discovery.last_connection->reset();
   discovery.fill();
   sockaddr_storage to{};
   const socklen_t size = net::parse_address(address(1))->put(to);
@@ -583,26 +599,26 @@
     connect(fd.get(), reinterpret_cast<const sockaddr*>(&to), size);
     send(fd.get(), "GET /healthz HTTP/1.1\r\n\r\n", 25, MSG_NOSIGNAL);
   }
-  scene.pass(1ms);
+  scene.advance(1ms);
   discovery.fill();
-  asked(scene, discovery, clock.steady());
+  expect_list_request(scene, discovery, clock.steady());
 }
 
-// The process has no descriptor left, and those held back for refusals are with clients that have only just
-// come and say nothing: who comes next is taken in as soon as these have had their time to ask, though
-// nothing is told of it again and nobody ends. All of them are refused or answered, none is reset.
+// The process is out of descriptors, and those reserved for refusals are held by new silent clients. The next
+// client is accepted as soon as these have had time for their first request, although the event loop does not
+// report it again and no connection closes. All clients are refused or answered, and none is reset.
 void accepted_late() {
-  SteppedTime clock;
-  Scene scene(entry("A", 11), clock);
+  ManualClock clock;
+  Scene scene(list_entry("A", 11), clock);
   {
-    // All kinds of watchers are called once before: the sanitizer's first look at each needs a descriptor
-    // itself.
+    // Each kind of watcher is called once before, since the sanitizer's first check of each needs a
+    // descriptor.
     Client before;
-    before.wire.put("GET /healthz HTTP/1.1\r\n\r\n");
-    scene.answered(before, "a client before");
+    before.connection.write("GET /healthz HTTP/1.1\r\n\r\n");
+    scene.print_answer(before, "a client before");
   }
-  scene.pass(10ms);
-  std::list<Client> silent(clients::kHeldBack);
+  scene.advance(10ms);
+  std::list<Client> silent(clients::kReservedDescriptors);
   Client client;
   rlimit limit{};
   getrlimit(RLIMIT_NOFILE, &limit);
@@ -613,73 +629,74 @@
   setrlimit(RLIMIT_NOFILE, &limit);
   std::list<net::Descriptor> ballast;
   for (int fd; (fd = dup(0)) >= 0;) ballast.emplace_back(fd);
-  client.wire.put("GET /healthz HTTP/1.1\r\n\r\n");
-  scene.pass(20ms);
-  say(client.answered() ? "ANSWERED ALREADY" : "waits");
+  client.connection.write("GET /healthz HTTP/1.1\r\n\r\n");
+  scene.advance(20ms);
+  print(client.answered() ? "ANSWERED TOO EARLY" : "waits");
   const Duration room = clock.steady();
-  scene.answered(client, "client");
-  say(clock.steady() - room < 200ms ? "within 0.2 s" : "LATE");
+  scene.print_answer(client, "client");
+  print(clock.steady() - room < 200ms ? "within 0.2 s" : "LATE");
   ballast.clear();
-  scene.until("the end of those who said nothing", [&] {
+  scene.run_until("the end of those who said nothing", [&] {
     return std::all_of(silent.begin(), silent.end(),
-                       [](Client& one) { return one.answered() || one.wire.ended; });
+                       [](Client& one) { return one.answered() || one.connection.ended; });
   });
-  say(std::none_of(silent.begin(), silent.end(), [](const Client& one) { return one.wire.cut; })
-          ? "none of the silent ones is cut"
-          : "CUT");
+  print(std::none_of(silent.begin(), silent.end(), [](const Client& one) { return one.connection.was_reset; })
+            ? "no silent connection is reset"
+            : "RESET");
 }
 
-// A request that crossed the end of its connection comes once more on a new one, under the same id: it was
-// never read, so nothing of it is in the way. One whose id still has a part out is turned away and sent
-// nowhere, since its answers could not be told apart, and a part that must not run twice would; after that
-// the id is free.
+// A request that was sent while its connection was being closed is sent again on a new one, with the same id:
+// it was never read, so it is accepted. A request whose id still has an outstanding part is refused and sent
+// nowhere, since answers could not be told apart and a non-retriable part could run twice. After that the id
+// is free again.
 void same_id_again() {
-  Leaf leaf(11);
-  SteppedTime clock;
-  Scene scene(entry("A", 11), clock, {{R"("cancel":true)", R"("cancel":false)"}});
-  scene.hosts = {&leaf};
+  FakeShardServer server(11);
+  ManualClock clock;
+  Scene scene(list_entry("A", 11), clock, {{R"("cancel":true)", R"("cancel":false)"}});
+  scene.fake_servers = {&server};
   Client silent;
-  scene.pass(3s);
-  Client again, leaves, early, later;
-  silent.send("m1", "issue", kOne);
-  scene.until("its end", [&] { return silent.wire.take().empty() && silent.wire.ended; });
-  again.send("m1", "issue", kOne);
-  auto got = scene.next(leaf, "leaf");
-  leaf.answer(got.wire, "m1.1", "S 1 -", "v");
-  scene.answered(again, "once more on a new connection");
-  leaves.send("m2", "issue", kOne);
-  got = scene.next(leaf, "leaf");
-  leaves.wire.fd.close();
-  scene.pass(20ms);
-  early.send("m2", "issue", kOne);
-  scene.answered(early, "while a part of it is out");
-  leaf.answer(got.wire, "m2.1", "S 1 -", "v");
-  scene.pass(20ms);
-  later.send("m2", "issue", kOne);
-  got = scene.next(leaf, "leaf");
-  leaf.answer(got.wire, "m2.1", "S 1 -", "w");
-  scene.answered(later, "after it");
-  say("frames besides: " + std::to_string(leaf.got.size()));
+  scene.advance(3s);
+  Client again, departing, early, later;
+  silent.send("m1", "issue", kOnePart);
+  scene.run_until("its end",
+                  [&] { return silent.connection.read_available().empty() && silent.connection.ended; });
+  again.send("m1", "issue", kOnePart);
+  auto frame = scene.next_frame(server, "shard server");
+  server.answer(frame.connection, "m1.1", "S 1 -", "v");
+  scene.print_answer(again, "the repeat on a new connection");
+  departing.send("m2", "issue", kOnePart);
+  frame = scene.next_frame(server, "shard server");
+  departing.connection.fd.close();
+  scene.advance(20ms);
+  early.send("m2", "issue", kOnePart);
+  scene.print_answer(early, "while a part is outstanding");
+  server.answer(frame.connection, "m2.1", "S 1 -", "v");
+  scene.advance(20ms);
+  later.send("m2", "issue", kOnePart);
+  frame = scene.next_frame(server, "shard server");
+  server.answer(frame.connection, "m2.1", "S 1 -", "w");
+  scene.print_answer(later, "after that");
+  print("further frames: " + std::to_string(server.frames.size()));
 }
 
-// A turn that takes long is told, with how long; the longest goes into the totals once.
+// A long turn is logged with its duration; the longest turn is reported once in the totals.
 void long_turn() {
-  SteppedTime clock;
-  Scene scene(entry("A", 11), clock);
+  ManualClock clock;
+  Scene scene(list_entry("A", 11), clock);
   log::set_listener([](const std::string& line) {
     for (const char* key : {"\"ms\":", "\"longest_turn_ms\":"}) {
       const std::size_t at = line.find(key);
-      if (at != std::string::npos) say(line.substr(at, line.find(',', at) - at));
+      if (at != std::string::npos) print(line.substr(at, line.find(',', at) - at));
     }
   });
   const auto takes = [&](Duration time) {
-    before_timers(scene, [&clock, time] {
-      for (Duration passed{}; passed < time; passed += 1ms) clock.pass();
+    run_before_timers(scene, [&clock, time] {
+      for (Duration passed{}; passed < time; passed += 1ms) clock.advance();
     });
-    scene.pass(100ms);
+    scene.advance(100ms);
   };
   for (const Duration time : {15ms, 25ms}) {
-    say("a turn of " + std::to_string(time / 1ms) + " ms, and one for the stand-ins");
+    print("a turn of " + std::to_string(time / 1ms) + " ms, and one for the fake servers");
     takes(time);
     scene.gatherer.log_totals();
   }
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -1,5 +1,5 @@
-// The whole program on loopback sockets among stand-ins for clients, shard servers and discovery that live in
-// this same thread: what a test does between two turns happens there and nowhere else.
+// Test harness: a complete gatherer on loopback sockets, with fake clients, shard servers and discovery in
+// the same thread. Whatever a test does between two turns of the event loop happens exactly there.
 #pragma once
 
 #include <sys/socket.h>
@@ -22,174 +22,188 @@
 
 using namespace std::chrono_literals;
 
-// Addresses of this run's own, so that runs side by side do not meet.
-inline std::string address(int last) {
+// Returns a loopback address that is specific to this process, so that parallel tests do not interfere.
+inline std::string address(int last_octet) {
   const int pid = getpid();
   return "127." + std::to_string(100 + pid % 100) + '.' + std::to_string(pid / 100 % 250) + '.' +
-         std::to_string(last) + ":9000";
+         std::to_string(last_octet) + ":9000";
 }
 
-inline void say(const std::string& what) { std::printf("%s\n", what.c_str()); }
+// Prints a line of the trace.
+inline void print(const std::string& line) { std::printf("%s\n", line.c_str()); }
 
-// One socket of a stand-in, read as far as there is something.
-struct Wire {
+// A non-blocking connection of a fake peer.
+struct Connection {
   net::Descriptor fd;
-  bool ended = false;
-  bool cut = false;  // by a reset
+  bool ended = false;      // the peer closed or reset it
+  bool was_reset = false;  // the peer reset it
 
-  std::string take() {
+  // Returns what can be read without waiting.
+  std::string read_available() {
     char bytes[4096];
     std::string out;
     while (fd && !ended) {
-      const ssize_t got = recv(fd.get(), bytes, sizeof bytes, MSG_DONTWAIT);
-      if (got > 0) {
-        out.append(bytes, static_cast<std::size_t>(got));
+      const ssize_t received = recv(fd.get(), bytes, sizeof bytes, MSG_DONTWAIT);
+      if (received > 0) {
+        out.append(bytes, static_cast<std::size_t>(received));
       } else {
-        cut = got < 0 && errno != EAGAIN && errno != EINTR;
-        ended = got == 0 || cut;
+        was_reset = received < 0 && errno != EAGAIN && errno != EINTR;
+        ended = received == 0 || was_reset;
         break;
       }
     }
     return out;
   }
-  void put(const std::string& bytes) {
-    if (send(fd.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL) < 0) say("NOT SENT");
+  void write(const std::string& bytes) {
+    if (send(fd.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL) < 0) print("NOT SENT");
   }
-  // What was not read is answered with a reset.
+  // Closes with a reset instead of an orderly shutdown.
   void reset() {
-    const linger now{1, 0};
-    setsockopt(fd.get(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
+    const linger no_linger{1, 0};
+    setsockopt(fd.get(), SOL_SOCKET, SO_LINGER, &no_linger, sizeof no_linger);
     fd.close();
   }
 };
 
-struct Host {
-  explicit Host(int last) : listener(net::listen_on(*net::parse_address(address(last)))) {
-    if (!listener) say("CANNOT LISTEN");
+// A listening fake peer of the gatherer, at the address with the given last octet.
+struct FakeServer {
+  explicit FakeServer(int last_octet) : listener(net::listen_on(*net::parse_address(address(last_octet)))) {
+    if (!listener) print("CANNOT LISTEN");
   }
-  virtual ~Host() = default;
-  virtual void hear() = 0;
-  Wire* accept() {
+  virtual ~FakeServer() = default;
+  // Accepts connections and reads what has arrived.
+  virtual void process_input() = 0;
+  // Returns the next connection from the queue; null if there is none.
+  Connection* accept() {
     net::Descriptor fd = net::accept_from(listener.get());
     if (!fd) return nullptr;
-    wires.push_back({std::move(fd)});
-    return &wires.back();
+    connections.push_back({std::move(fd)});
+    return &connections.back();
   }
   net::Descriptor listener;
-  std::list<Wire> wires;
+  std::list<Connection> connections;
 };
 
-// A shard server: keeps the frames it gets until the test looks at them.
-struct Leaf : Host {
-  using Host::Host;
-  struct Got {
-    Wire* wire;
+// A shard server that keeps received frames until the test takes them.
+struct FakeShardServer : FakeServer {
+  using FakeServer::FakeServer;
+  struct Frame {
+    Connection* connection;
     std::string text;
   };
-  void hear() override {
+  void process_input() override {
     while (accept() != nullptr) {
       readers.emplace_back();
-      opened += 1;
+      connections_opened += 1;
     }
     auto reader = readers.begin();
-    for (Wire& wire : wires) {
-      const std::string bytes = wire.take();
-      std::string_view left = bytes;
-      while (!left.empty()) {
-        left.remove_prefix(reader->take(left));
+    for (Connection& connection : connections) {
+      const std::string bytes = connection.read_available();
+      std::string_view unread = bytes;
+      while (!unread.empty()) {
+        unread.remove_prefix(reader->take(unread));
         if (reader->state() != servers::FrameReader::State::done) continue;
         std::string text = reader->frame().letter + std::string(" ") + reader->frame().rest;
         for (std::size_t at; (at = text.find('\n')) != std::string::npos;) text.replace(at, 1, "|");
+        // Time limits differ between runs.
         for (std::size_t at = 0; (at = text.find(" d=", at)) != std::string::npos;) {
           at += 3;
           text.replace(at, text.find_first_not_of("0123456789", at) - at, "*");
         }
-        got.push_back({&wire, text});
+        frames.push_back({&connection, text});
         reader->restart();
       }
       ++reader;
     }
   }
-  void answer(Wire* wire, const std::string& id, const std::string& rest, const std::string& value) {
+  void answer(Connection* connection, const std::string& id, const std::string& rest,
+              const std::string& value) {
     std::string frame;
     const std::size_t place = servers::begin_frame(frame, '5');
     frame += id + ' ' + rest + '\n' + value;
     servers::end_frame(frame, place);
-    wire->put(frame);
+    connection->write(frame);
   }
   std::list<servers::FrameReader> readers;
-  std::deque<Got> got;
-  int opened = 0;
+  std::deque<Frame> frames;
+  int connections_opened = 0;
 };
 
-struct Discovery : Host {
-  using Host::Host;
-  void hear() override {
+// A discovery that keeps requests until the test answers them.
+struct FakeDiscovery : FakeServer {
+  using FakeServer::FakeServer;
+  void process_input() override {
     while (accept() != nullptr) {
     }
-    for (Wire& wire : wires) {
-      if (const std::string bytes = wire.take(); !bytes.empty()) {
-        asked.push_back(bytes.substr(0, bytes.find(" HTTP")));
-        last = &wire;
+    for (Connection& connection : connections) {
+      if (const std::string bytes = connection.read_available(); !bytes.empty()) {
+        requests.push_back(bytes.substr(0, bytes.find(" HTTP")));
+        last_connection = &connection;
       }
     }
   }
   void answer(const std::string& body) {
-    last->put("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+    last_connection->write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
+                           body);
   }
-  std::deque<std::string> asked;
-  Wire* last = nullptr;
+  std::deque<std::string> requests;
+  Connection* last_connection = nullptr;  // of the latest request
 };
 
 struct Client {
-  Client() : wire{net::start_connect(*net::parse_address(address(1)))} {}
+  Client() : connection{net::start_connect(*net::parse_address(address(1)))} {}
   void send(const std::string& id, const std::string& op_type, const std::string& slices,
-            const std::string& more = "") {
+            const std::string& extra_headers = "") {
     const std::string body = "{\"slices\":" + slices + ",\"filter\":\"f00d\"}";
-    wire.put("POST /api HTTP/1.1\r\nX-Request-Id: " + id + "\r\nX-Class: " + op_type + "\r\n" + more +
-             "X-Deadline-Ms: 50000\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+    connection.write(
+        "POST /api HTTP/1.1\r\nX-Request-Id: " + id + "\r\nX-Class: " + op_type + "\r\n" + extra_headers +
+        "X-Deadline-Ms: 50000\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
   }
+  // Returns whether a response has arrived.
   bool answered() {
-    text += wire.take();
+    text += connection.read_available();
     return text.find("\r\n\r\n") != std::string::npos;
   }
+  // Returns a summary of the response and forgets it.
   std::string answer() {
     std::string out = text.substr(9, 3) +
                       (text.find("Connection: close") != std::string::npos ? " closing" : "") +
-                      (text.find("Retry-After") != std::string::npos ? " come back" : "") + " " +
+                      (text.find("Retry-After") != std::string::npos ? " with Retry-After" : "") + " " +
                       text.substr(text.find("\r\n\r\n") + 4);
     while (!out.empty() && out.back() == '\n') out.pop_back();
     text.clear();
     return out;
   }
-  Wire wire;
-  std::string text;
+  Connection connection;
+  std::string text;  // received so far
 };
 
-inline std::string entry(const std::string& name, int last, const std::string& status = "ready") {
-  return "{\"name\":\"" + name + "\",\"address\":\"" + address(last) +
+// Returns an entry of discovery's list.
+inline std::string list_entry(const std::string& name, int last_octet, const std::string& status = "ready") {
+  return "{\"name\":\"" + name + "\",\"address\":\"" + address(last_octet) +
          "\",\"zone\":\"a\",\"group\":0,\"status\":\"" + status + "\",\"since_ms\":0}";
 }
 
-// Time that passes a millisecond a turn, whatever the machine does meanwhile.
-class SteppedTime final : public TimeSource {
+// A clock that advances by 1 ms per turn of the gatherer, independent of the machine's time.
+class ManualClock final : public TimeSource {
  public:
   Duration steady() const override { return now_; }
   Duration wall() const override { return 1'700'000'000s + now_; }
   Duration machine_time(Duration) const override { return 0s; }
-  void pass() { now_ += 1ms; }
+  void advance() { now_ += 1ms; }
 
  private:
   Duration now_ = 1h;
 };
 
-using Changes = std::vector<std::pair<std::string, std::string>>;  // of a configuration's text
+// Replacements in a configuration's text: what to find, and what to put there.
+using Changes = std::vector<std::pair<std::string, std::string>>;
 
-inline std::string changed(std::string text, const Changes& changes) {
+inline std::string with_changes(std::string text, const Changes& changes) {
   for (const auto& [from, to] : changes) {
     const std::size_t at = text.find(from);
     if (at == std::string::npos) {
-      say("NOTHING TO CHANGE: " + from);
+      print("NOTHING TO REPLACE: " + from);
       continue;
     }
     text.replace(at, from.size(), to);
@@ -200,8 +214,8 @@
 struct Scene {
   explicit Scene(const std::string& entries, const std::string& connect_timeout = "20000000",
                  const std::string& budget = "30000000", const std::string& tick = "5000",
-                 const Changes& changes = {}, SteppedTime* clock = nullptr)
-      : text(changed(
+                 const Changes& changes = {}, ManualClock* clock = nullptr)
+      : text(with_changes(
             R"({"name":"n0","listen":")" + address(1) + R"(","discovery":")" + address(2) +
                 R"(","seed":"7","limits":{"sockets":200},"known":{"index":4,"snapshot":true,"endpoints":[)" +
                 entries +
@@ -220,69 +234,72 @@
                 tick + R"(,"contract":{"ask-every":10000000}}})",
             changes)),
         gatherer_config(config::parse_gatherer_config(text)),
-        stepped(clock),
+        manual_clock(clock),
         gatherer(gatherer_config, {},
                  clock != nullptr ? static_cast<const TimeSource&>(*clock) : machine_clock()) {}
-  // In stepped time, among settings with these changes.
-  Scene(const std::string& entries, SteppedTime& clock, const Changes& changes = {})
+  // Runs on a manual clock, with changes to the configuration's text.
+  Scene(const std::string& entries, ManualClock& clock, const Changes& changes = {})
       : Scene(entries, "250000", "30000000", "5000", changes, &clock) {}
 
-  // The configuration read again with these changes of its text.
+  // Reloads the configuration with changes to its text, and prints whether it was accepted.
   void reload(const Changes& changes) {
     try {
-      gatherer.reload(config::parse_gatherer_config(changed(text, changes)));
-      say("-- read again");
+      gatherer.reload(config::parse_gatherer_config(with_changes(text, changes)));
+      print("-- read again");
     } catch (const std::exception& wrong) {
-      say(std::string("-- refused: ") + wrong.what());
+      print(std::string("-- refused: ") + wrong.what());
     }
   }
 
-  void until(const char* what, const std::function<bool()>& holds) {
+  // Runs the gatherer and the fake servers until a condition holds; ends the test after 20 s.
+  void run_until(const char* what, const std::function<bool()>& holds) {
     const auto end = std::chrono::steady_clock::now() + 20s;
     for (;;) {
-      for (Host* host : hosts) host->hear();
+      for (FakeServer* server : fake_servers) server->process_input();
       if (holds()) return;
       if (std::chrono::steady_clock::now() > end) {
-        std::printf("WAITED IN VAIN for %s\n", what);
+        std::printf("TIMED OUT waiting for %s\n", what);
         std::exit(1);
       }
-      turn();
+      run_turn();
     }
   }
-  void turn() {
-    gatherer.loop().at(gatherer.loop().now() + 20ms, [] {});  // the stand-ins get their turn too
+  void run_turn() {
+    gatherer.loop().at(gatherer.loop().now() + 20ms,
+                       [] {});  // so that the turn ends and the fake servers are polled
     running = gatherer.run_once() && running;
-    if (stepped != nullptr) stepped->pass();
+    if (manual_clock != nullptr) manual_clock->advance();
   }
-  // In stepped time: so much of it passes.
-  void pass(Duration time) {
-    for (const Duration end = stepped->steady() + time; stepped->steady() < end;) {
-      for (Host* host : hosts) host->hear();
-      turn();
+  // Runs the gatherer until the manual clock has advanced by `time`.
+  void advance(Duration time) {
+    for (const Duration end = manual_clock->steady() + time; manual_clock->steady() < end;) {
+      for (FakeServer* server : fake_servers) server->process_input();
+      run_turn();
     }
   }
-  // The next frame at a leaf, printed.
-  Leaf::Got next(Leaf& leaf, const char* name) {
-    until("a frame", [&] { return !leaf.got.empty(); });
-    const Leaf::Got got = leaf.got.front();
-    leaf.got.pop_front();
-    say(std::string(name) + " gets " + got.text);
-    return got;
+  // Waits for the next frame at a shard server, prints and returns it.
+  FakeShardServer::Frame next_frame(FakeShardServer& server, const char* name) {
+    run_until("a frame", [&] { return !server.frames.empty(); });
+    const FakeShardServer::Frame frame = server.frames.front();
+    server.frames.pop_front();
+    print(std::string(name) + " gets " + frame.text);
+    return frame;
   }
-  void answered(Client& client, const char* name) {
-    until("an answer", [&] { return client.answered(); });
-    say(std::string(name) + " gets " + client.answer());
+  // Waits for the client's response and prints it.
+  void print_answer(Client& client, const char* name) {
+    run_until("an answer", [&] { return client.answered(); });
+    print(std::string(name) + " gets " + client.answer());
   }
 
   std::string text;
   config::GathererConfig gatherer_config;
-  std::vector<Host*> hosts;
-  SteppedTime* stepped;
+  std::vector<FakeServer*> fake_servers;
+  ManualClock* manual_clock;
   gatherer::Gatherer gatherer;
-  bool running = true;
+  bool running = true;  // until the gatherer ends after a planned stop
 };
 
-inline const std::string kOne = R"([{"slice":1,"mass":1}])";
-inline const std::string kTwo = R"([{"slice":1,"mass":0.5},{"slice":3,"mass":0.5}])";
+inline const std::string kOnePart = R"([{"slice":1,"mass":1}])";
+inline const std::string kTwoParts = R"([{"slice":1,"mass":0.5},{"slice":3,"mass":0.5}])";
 
 }  // namespace marbledyke::scene
