--- a/tests/client_room_traces.cpp
+++ b/tests/client_room_traces.cpp
@@ -148,25 +148,25 @@
 // Clients that send nothing, or an incomplete request, occupy all slots and the accept queue: well-behaved
 // clients that connect last are served, and no connection is reset.
 void floods() {
-  for (const bool half : {false, true}) {
+  for (const bool incomplete : {false, true}) {
     FakeShardServer server(11);
     ManualClock clock;
     Scene scene(list_entry("A", 11), clock, kFewSlots);
     scene.fake_servers = {&server};
-    std::list<Client> flood(150), honest;
+    std::list<Client> flood(150), regular;
     for (Client& client : flood) {
-      if (half) client.connection.write("POST /api HTT");
+      if (incomplete) client.connection.write("POST /api HTT");
     }
-    connect_and_send(honest, 5, "m");
+    connect_and_send(regular, 5, "m");
     const Duration came = clock.steady();
     scene.run_until("the last of them", [&] {
       answer_all(server);
-      return count_outcomes(honest).waiting == 0;
+      return count_outcomes(regular).waiting == 0;
     });
-    print(std::string(half ? "incomplete requests: " : "silent clients: ") +
-          std::to_string(count_outcomes(honest).served) + " of 5 served" +
+    print(std::string(incomplete ? "incomplete requests: " : "silent clients: ") +
+          std::to_string(count_outcomes(regular).served) + " of 5 served" +
           (clock.steady() - came < 2s ? ", before the flood ends" : ", LATE"));
-    print_failures(count_outcomes(honest));
+    print_failures(count_outcomes(regular));
     print(std::none_of(flood.begin(), flood.end(), [](const Client& one) { return one.connection.was_reset; })
               ? "none is reset"
               : "RESET");
@@ -180,23 +180,23 @@
   ManualClock clock;
   Scene scene(list_entry("A", 11), clock, kFewSlots);
   scene.fake_servers = {&server};
-  std::list<Client> resting, fresh;
-  connect_and_send(resting, 43, "m");
+  std::list<Client> idle, fresh;
+  connect_and_send(idle, 43, "m");
   scene.advance(20ms);
   answer_all(server);
   scene.advance(20ms);
-  print("served and kept: " + std::to_string(count_outcomes(resting).served));
-  for (Client& client : resting) client.text.clear();
+  print("served and kept: " + std::to_string(count_outcomes(idle).served));
+  for (Client& client : idle) client.text.clear();
   run_before_timers(scene, [&] {
     connect_and_send(fresh, 10, "fresh");
-    resting.front().send("next", "issue", kOnePart);
+    idle.front().send("next", "issue", kOnePart);
   });
   scene.advance(20ms);
   answer_all(server);
   scene.advance(20ms);
   print("served of 10 that connect: " + std::to_string(count_outcomes(fresh).served));
   print_failures(count_outcomes(fresh));
-  const Outcomes kept = count_outcomes(resting);
+  const Outcomes kept = count_outcomes(idle);
   print("of the idle ones, with a next request under way: " + std::to_string(kept.served) +
         " served; closed in order: " + std::to_string(kept.unanswered) +
         ", reset: " + std::to_string(kept.reset));
@@ -209,7 +209,7 @@
   ManualClock clock;
   Scene scene(list_entry("A", 11), clock, kFewSlots);
   scene.fake_servers = {&server};
-  Client body_later, trickles;
+  Client body_later, slow_sender;
   const std::string body = R"({"slices":[{"slice":1,"mass":1}],"filter":"f00d"})";
   const auto head = [&](const char* id) {
     return std::string("POST /api HTTP/1.1\r\nX-Request-Id: ") + id +
@@ -227,14 +227,14 @@
   // One byte every 10 ms from now on, beyond the time at which new connections end.
   const std::string whole = head("trickles") + body;
   for (const char byte : whole) {
-    if (trickles.answered() || trickles.connection.ended) break;
-    trickles.connection.write(std::string(1, byte));
+    if (slow_sender.answered() || slow_sender.connection.ended) break;
+    slow_sender.connection.write(std::string(1, byte));
     scene.advance(10ms);
   }
   scene.advance(10ms);
   answer_all(server);
-  scene.print_answer(trickles, "a client that sends byte by byte");
-  print(trickles.connection.was_reset ? "RESET" : "not reset");
+  scene.print_answer(slow_sender, "a client that sends byte by byte");
+  print(slow_sender.connection.was_reset ? "RESET" : "not reset");
 }
 
 // The last answers of a planned stop, which is ended by force 3.7 s after the signal. A second step that
--- a/tests/crossing_traces.cpp
+++ b/tests/crossing_traces.cpp
@@ -26,11 +26,11 @@
 // the second. The write that fails closes the connection while its own input is being handled.
 void flood_gone() {
   Scene scene(list_entry("A", 11));
-  Client flood, other;
+  Client pipelining, other;
   std::string many;
   for (int i = 0; i < 50; ++i) many += "GET /other HTTP/1.1\r\n\r\n";
-  flood.connection.write(many);
-  run_before_timers(scene, [&] { flood.connection.reset(); });
+  pipelining.connection.write(many);
+  run_before_timers(scene, [&] { pipelining.connection.reset(); });
   for (int i = 0; i < 5; ++i) scene.gatherer.run_once();
   other.connection.write("GET /healthz HTTP/1.1\r\n\r\n");
   scene.print_answer(other, "another client");
@@ -476,18 +476,18 @@
   ManualClock clock;
   Scene scene(list_entry("A", 11), clock);
   scene.fake_servers = {&server};
-  Client same_round, resting;
+  Client same_round, awaiting_retry;
   same_round.send("m1", "draft", kOnePart);
   auto frame = scene.next_frame(server, "shard server");
   server.answer(frame.connection, "m1.1", "E - -", "");
   same_round.connection.fd.close();
   scene.advance(1s);
   print("frames after the first disconnect: " + std::to_string(server.frames.size()));
-  resting.send("m2", "draft", kOnePart);
+  awaiting_retry.send("m2", "draft", kOnePart);
   frame = scene.next_frame(server, "shard server");
   server.answer(frame.connection, "m2.1", "E - -", "");
   scene.advance(20ms);
-  resting.connection.fd.close();
+  awaiting_retry.connection.fd.close();
   scene.advance(1s);
   print("frames after the second disconnect: " + std::to_string(server.frames.size()));
 }
@@ -500,31 +500,30 @@
   ManualClock clock;
   Scene scene(list_entry("A", 11), clock);
   scene.fake_servers = {&server};
-  Client resting, half;
-  half.connection.write("POST /api HTT");
-  resting.send("m1", "issue", kOnePart);
+  Client idle, incomplete;
+  incomplete.connection.write("POST /api HTT");
+  idle.send("m1", "issue", kOnePart);
   auto frame = scene.next_frame(server, "shard server");
   server.answer(frame.connection, "m1.1", "S 1 -", "v");
-  scene.print_answer(resting, "client");
+  scene.print_answer(idle, "client");
   scene.gatherer.begin_stop();
   scene.gatherer.begin_stop();  // SIGTERM twice
   // After input has been read and right after the gatherer's own timer, in the turn that closes the idle
   // connections.
-  scene.gatherer.loop().at(scene.gatherer.loop().now() + 400ms,
-                           [&] { resting.send("m2", "issue", kOnePart); });
+  scene.gatherer.loop().at(scene.gatherer.loop().now() + 400ms, [&] { idle.send("m2", "issue", kOnePart); });
   scene.advance(300ms);
   Client fresh;
   scene.run_until("its end",
-                  [&] { return resting.connection.read_available().empty() && resting.connection.ended; });
-  print(resting.connection.was_reset ? "CLOSED BY A RESET" : "the idle connection is closed in order");
-  resting.connection.fd.close();
-  scene.print_answer(half, "an incomplete request");
+                  [&] { return idle.connection.read_available().empty() && idle.connection.ended; });
+  print(idle.connection.was_reset ? "CLOSED BY A RESET" : "the idle connection is closed in order");
+  idle.connection.fd.close();
+  scene.print_answer(incomplete, "an incomplete request");
   fresh.send("m3", "issue", kOnePart);
   frame = scene.next_frame(server, "shard server");
   server.answer(frame.connection, "m3.1", "S 1 -", "v");
   scene.print_answer(fresh, "the new client");
   print("further frames: " + std::to_string(server.frames.size()));
-  half.connection.fd.close();
+  incomplete.connection.fd.close();
   fresh.connection.fd.close();
   scene.run_until("the end", [&] { return !scene.running; });
 }
--- a/tests/gatherer_traces.cpp
+++ b/tests/gatherer_traces.cpp
@@ -297,8 +297,8 @@
   FakeShardServer server(11);
   Scene scene(list_entry("A", 11));
   scene.fake_servers = {&server};
-  Client first, idle, half;
-  half.connection.write("POST /api HTT");  // must not delay the end of the process
+  Client first, idle, incomplete;
+  incomplete.connection.write("POST /api HTT");  // must not delay the end of the process
   first.send("m1", "issue", kOnePart);
   const auto frame = scene.next_frame(server, "shard server");
   scene.gatherer.begin_stop();
@@ -350,22 +350,22 @@
 // served meanwhile.
 void client_waits() {
   Scene scene(list_entry("A", 11), "300000");
-  Client silent, half;
-  half.connection.write("POST /api HTT");
-  scene.run_until("an answer", [&] { return half.answered(); });
-  print("an incomplete request gets " + half.answer());
+  Client silent, incomplete;
+  incomplete.connection.write("POST /api HTT");
+  scene.run_until("an answer", [&] { return incomplete.answered(); });
+  print("an incomplete request gets " + incomplete.answer());
   scene.run_until("its end",
                   [&] { return silent.connection.read_available().empty() && silent.connection.ended; });
   print("the silent connection is closed");
-  Client flood;
+  Client pipelining;
   std::string many;
   for (int i = 0; i < 500; ++i) many += "GET /other HTTP/1.1\r\n\r\n";
-  flood.connection.write(many);
-  scene.run_until("an answer", [&] { return flood.answered(); });
+  pipelining.connection.write(many);
+  scene.run_until("an answer", [&] { return pipelining.answered(); });
   for (int i = 0; i < 3; ++i) scene.gatherer.run_once();
-  flood.answered();
+  pipelining.answered();
   std::size_t answers = 0;
-  for (std::size_t at = 0; (at = flood.text.find("404", at)) != std::string::npos; ++at) answers += 1;
+  for (std::size_t at = 0; (at = pipelining.text.find("404", at)) != std::string::npos; ++at) answers += 1;
   print(answers < 20 ? "pipelined requests are answered turn by turn" : "PIPELINED REQUESTS OCCUPY THE LOOP");
 }
 
