--- a/src/command/check.cpp
+++ b/src/command/check.cpp
@@ -4,8 +4,8 @@
 #include <iostream>
 #include <iterator>
 
-#include "choice.h"
 #include "config/gatherer_config.h"
+#include "decision_engine.h"
 #include "list/news.h"
 #include "operator_file/helper.h"
 
@@ -24,7 +24,7 @@
   const std::string text((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
   try {
     const config::GathererConfig gatherer_config = config::parse_gatherer_config(text);
-    Choice(gatherer_config.terms, gatherer_config.seed);
+    DecisionEngine(gatherer_config.terms, gatherer_config.seed);
     if (gatherer_config.known_list.is_object())
       list::read_news(gatherer_config.known_list, gatherer_config.settings, {});
     std::cout << path << ": good" << std::endl;
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -15,7 +15,7 @@
 #include <optional>
 #include <system_error>
 
-#include "choice.h"
+#include "decision_engine.h"
 #include "events/pipe.h"
 #include "gatherer/gatherer.h"
 #include "log/log.h"
@@ -69,7 +69,7 @@
   config::GathererConfig out = config::load_gatherer_config();
   if (out.settings_file.empty()) return out;
   try {
-    Choice(out.terms, out.seed);
+    DecisionEngine(out.terms, out.seed);
   } catch (const std::invalid_argument& wrong) {
     throw config::BadInput(out.settings_file + ": settings." + wrong.what());
   }
--- a/src/config/fields.h
+++ b/src/config/fields.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke::config {
 
@@ -37,6 +37,6 @@
 
 // Adds the scalars of nested settings to `into`, under names with dots between the levels and the index of
 // list entries as a number: {"zones":["a"]} gives "zones.0". Null values are left out.
-void flatten(const json& value, const std::string& name, Terms& into);
+void flatten(const json& value, const std::string& name, FlatSettings& into);
 
 }  // namespace marbledyke::config
--- a/src/config/gatherer_config.cpp
+++ b/src/config/gatherer_config.cpp
@@ -5,8 +5,8 @@
 #include <fstream>
 #include <sstream>
 
-#include "model/measure.h"
-#include "model/terms.h"
+#include "model/numeric.h"
+#include "model/settings_reader.h"
 
 namespace marbledyke::config {
 
@@ -36,14 +36,14 @@
 
 // Reads required settings by name. Throws std::invalid_argument, with the name, if one is missing, has the
 // wrong type or is out of range.
-class SettingsReader {
+class RequiredSettings {
  public:
-  explicit SettingsReader(const Terms& terms) : contract_(terms) {}
+  explicit RequiredSettings(const FlatSettings& terms) : reader_(terms) {}
 
   double number(const std::string& name, double min, double max) const {
-    if (!contract_.has(name)) Contract::refuse(name, "missing");
-    const double value = contract_.at_least(name, 0, min);
-    if (value > max) Contract::refuse(name, "is too large");
+    if (!reader_.has(name)) SettingsReader::reject(name, "missing");
+    const double value = reader_.at_least(name, 0, min);
+    if (value > max) SettingsReader::reject(name, "is too large");
     return value;
   }
   int count(const std::string& name, double min = 1, double max = 1e6) const {
@@ -53,28 +53,28 @@
   Duration duration(const std::string& name) const {
     return Duration(static_cast<std::int64_t>(number(name, 1, kMaxDurationUs)));
   }
-  bool has(const std::string& name) const { return contract_.has(name); }
-  bool flag(const std::string& name) const { return contract_.flag(name, false); }
+  bool has(const std::string& name) const { return reader_.has(name); }
+  bool flag(const std::string& name) const { return reader_.flag(name, false); }
   std::string word(const std::string& name) const {
-    if (!contract_.has(name)) Contract::refuse(name, "missing");
-    return contract_.word(name, "");
+    if (!reader_.has(name)) SettingsReader::reject(name, "missing");
+    return reader_.text(name, "");
   }
   // Returns `field` of each entry of a list, up to the first entry that does not have it.
   std::vector<std::string> words(const std::string& list, const std::string& field) const {
     std::vector<std::string> out;
     for (;;) {
       const std::string name = list + "." + std::to_string(out.size()) + field;
-      if (!contract_.has(name)) return out;
-      out.push_back(contract_.word(name, ""));
+      if (!reader_.has(name)) return out;
+      out.push_back(reader_.text(name, ""));
     }
   }
 
  private:
-  Contract contract_;
+  SettingsReader reader_;
 };
 
-ServiceSettings parse_service_settings(const Terms& terms) {
-  const SettingsReader reader(terms);
+ServiceSettings parse_service_settings(const FlatSettings& terms) {
+  const RequiredSettings reader(terms);
   ServiceSettings out;
   for (int i = 0;; ++i) {
     const std::string index = std::to_string(i);
@@ -92,7 +92,7 @@
     const std::string complete_from = "specifics.complete-from." + index;
     if (out.op_types.back().min_answer_share >
         (reader.has(complete_from) ? reader.number(complete_from, 0, 1) : 1.0))
-      Contract::refuse(class_floor, "exceeds the share that a complete answer needs");
+      SettingsReader::reject(class_floor, "exceeds the share that a complete answer needs");
     const Duration timeout = reader.duration(category + "deadline");
     out.max_route_timeout = std::max(out.max_route_timeout, timeout);
     const Duration budget =
@@ -100,11 +100,12 @@
     out.op_types.back().latency_budget = std::min(budget, timeout);
     out.max_latency_budget = std::max(out.max_latency_budget, out.op_types.back().latency_budget);
   }
-  if (out.op_types.empty()) Contract::refuse("categories", "missing");
+  if (out.op_types.empty()) SettingsReader::reject("categories", "missing");
   out.customers = reader.words("customers", ".name");
   out.zones = reader.words("zones", "");
   out.report_fields = reader.words("telemetry.fields", "");
-  if (out.report_fields.size() > LoadReport{}.value.size()) Contract::refuse("telemetry.fields", "too many");
+  if (out.report_fields.size() > LoadReport{}.values.size())
+    SettingsReader::reject("telemetry.fields", "too many");
   out.shards = reader.count("specifics.slabs");
   out.cells = reader.count("specifics.sets");
   out.max_parts_per_call = reader.count("specifics.bundle-max", 1, 1024);
@@ -162,7 +163,7 @@
     throw BadInput(prefix + "settings." + error.what());
   }
   out.log_level = log_level_from_environment();
-  out.digest = hash_text(content);
+  out.digest = hash_string(content);
   return out;
 }
 
--- a/src/config/gatherer_config.h
+++ b/src/config/gatherer_config.h
@@ -10,7 +10,7 @@
 #include "config/fields.h"
 #include "config/fleet_settings.h"
 #include "log/log.h"
-#include "model/plain.h"
+#include "model/types.h"
 #include "net/address.h"
 
 namespace marbledyke::config {
@@ -55,7 +55,7 @@
   int max_sockets = 0;
   log::Level log_level = log::Level::info;
   json known_list;  // the list as last held, in discovery's format; null if there is none
-  Terms terms;
+  FlatSettings terms;
   ServiceSettings settings;
   std::uint64_t digest = 0;  // hash of the configuration's text
   // Revision of the fleet settings that `terms` come from; 0 if they come from the configuration itself.
--- a/src/gatherer/gatherer.cpp
+++ b/src/gatherer/gatherer.cpp
@@ -65,7 +65,7 @@
       discovery_(gatherer_config.discovery),
       loop_(clock),
       unix_start_((loop_.read_clock(), clock.wall() - loop_.now())),
-      choice_(gatherer_config.terms, gatherer_config.seed),
+      decision_engine_(gatherer_config.terms, gatherer_config.seed),
       servers_(loop_, gatherer_config.settings, gatherer_config.seed,
                [this] { return release_connection(); }),
       http_front_(loop_, gatherer_config.settings, gatherer_config.listen,
@@ -79,14 +79,14 @@
     long_turn_event_.write(
         {{"ms", turn.took / 1ms}, {"processor_ms", turn.processor / 1ms}, {"in_hand", unanswered_}});
   });
-  choice_.clock(loop_.now());
+  decision_engine_.advance_clock(loop_.now());
   if (gatherer_config.known_list.is_object()) {
     list::News known = parse_known_list(gatherer_config, unix_start_);
     known.whole = true;
     servers_.listed(known);
-    choice_.list_opens(true, true);
-    for (const list::Entry& entry : known.entries) choice_.list_row(entry.row);
-    choice_.list_closes();
+    decision_engine_.on_list_begin(true, true);
+    for (const list::Entry& entry : known.entries) decision_engine_.on_list_entry(entry.row);
+    decision_engine_.on_list_complete();
     list_watch_.held(known.index);
     log::event(log::Level::info, "list.remembered",
                {{"servers", known.entries.size()}, {"version", known.index}, {"left_out", known.skipped}});
@@ -188,7 +188,7 @@
 }
 
 void Gatherer::reload(const config::GathererConfig& fresh) {
-  Choice(fresh.terms, fresh.seed);  // checks them before anything is changed
+  DecisionEngine(fresh.terms, fresh.seed);  // checks them before anything is changed
   const auto warn_if_changed = [](bool differs, const std::string& key) {
     if (differs) log::event(log::Level::warning, "configuration.waits_for_start", {{"key", key}});
   };
@@ -214,9 +214,9 @@
   const config::ServiceSettings& new_settings = fresh.settings;
   config::ServiceSettings& current = gatherer_config_.settings;
   std::size_t changed = 0;
-  const Terms& current_terms = gatherer_config_.terms;
+  const FlatSettings& current_terms = gatherer_config_.terms;
   for (const auto* terms : {&fresh.terms, &current_terms}) {
-    const Terms& other_terms = terms == &fresh.terms ? current_terms : fresh.terms;
+    const FlatSettings& other_terms = terms == &fresh.terms ? current_terms : fresh.terms;
     for (const auto& [name, term] : *terms) {
       const auto at = other_terms.find(name);
       if (at != other_terms.end() && (terms != &fresh.terms || at->second == term)) continue;
@@ -242,7 +242,7 @@
   }
   deliver_events();
   execute_decisions();
-  choice_.renew(fresh.terms);
+  decision_engine_.update_settings(fresh.terms);
   const bool reload_list = new_settings.zones != current.zones || new_settings.cells != current.cells;
   if (reload_list) servers_.renumber_zones(current.zones, new_settings.zones);
   const bool becomes_pushed = current.list_polled && !new_settings.list_polled;
@@ -272,23 +272,23 @@
 
 void Gatherer::deliver_events() {
   is_wake_due_ = false;
-  choice_.clock(loop_.now());
+  decision_engine_.advance_clock(loop_.now());
   for (list::News& news : std::exchange(list_updates_, {})) on_list_update(std::move(news));
   for (const Duration most_backoff : std::exchange(list_refusals_, {})) {
-    choice_.list_refused(most_backoff);
+    decision_engine_.on_list_call_refused(most_backoff);
     // Where the list is pushed, the decision module never requests it, so the connection is reopened here.
     if (!gatherer_config_.settings.list_polled)
       loop_.at(loop_.now() + list::kAgentBackoff, [this] { list_watch_.ask(true); });
   }
   for (servers::Ended& ended : std::exchange(servers_.ended, {})) on_send_ended(ended);
   for (const servers::Probed& probed : std::exchange(servers_.probed, {}))
-    choice_.probe_ended(probed.server, probed.fate, probed.elapsed, probed.report);
+    decision_engine_.on_probe_ended(probed.server, probed.fate, probed.elapsed, probed.report);
   for (const auto& one : carriers_) {
     for (servers::Ended& ended : std::exchange(one->ended, {})) on_send_ended(ended);
     for (const servers::Probed& probed : std::exchange(one->probed, {}))
-      choice_.probe_ended(probed.server, probed.fate, probed.elapsed, probed.report);
+      decision_engine_.on_probe_ended(probed.server, probed.fate, probed.elapsed, probed.report);
   }
-  for (const Rid& id : std::exchange(second_steps_to_submit_, {})) {
+  for (const RequestId& id : std::exchange(second_steps_to_submit_, {})) {
     const int place = pending_.find(id);
     if (place >= 0 && !pending_.at(place).is_answered) submit_parts(pending_.at(place));
   }
@@ -302,7 +302,7 @@
 void Gatherer::on_client_left(std::size_t front, std::uint64_t caller) {
   const auto at = by_caller_.find({front, caller});
   if (at == by_caller_.end()) return;
-  const Rid id = at->second;
+  const RequestId id = at->second;
   by_caller_.erase(at);
   PendingMultiget& mg = pending_.at(pending_.find(id));
   mg.caller = 0;
@@ -311,7 +311,7 @@
   if (totals::OpTypeCounts* count = op_type_counts(mg)) count->left += 1;
   log::event(log::Level::debug, "multiget.ended",
              {{"multiget", mg.request_id}, {"caller", caller}, {"how", "client_left"}});
-  choice_.client_left(id);
+  decision_engine_.on_client_left(id);
   release_if_finished(mg);
 }
 
@@ -331,7 +331,7 @@
     log::event(log::Level::debug, "multiget.ended",
                {{"multiget", mg.request_id}, {"caller", caller.second}, {"how", "stopped"}});
     fronts_[caller.first]->refuse(caller.second, front::Refusal::failed, {});
-    choice_.client_left(id);
+    decision_engine_.on_client_left(id);
     release_if_finished(mg);
   }
 }
@@ -342,7 +342,7 @@
   mg.is_answered = true;
   --unanswered_;
   for (std::size_t i = 0; i < mg.parts.size() && mg.sends_out > 0; ++i) {
-    const Rid part = part_id(mg.id, i);
+    const RequestId part = part_id(mg.id, i);
     for (int send = 0; send < mg.parts[i].sends; ++send) servers_.unsend(part, send);
   }
 }
@@ -350,26 +350,26 @@
 void Gatherer::on_list_update(list::News&& news) {
   servers_.listed(news);
   for (const auto& one : carriers_) one->listed(news);
-  choice_.list_opens(news.whole, false);
+  decision_engine_.on_list_begin(news.whole, false);
   // A complete list has no information on a server whose entry cannot be parsed, so the decision module is
   // given the server's last known entry again.
   std::size_t kept = 0;
   for (const std::string& name : news.unreadable) {
-    const ListRow* const last = news.whole ? servers_.last_row(name) : nullptr;
+    const ListEntry* const last = news.whole ? servers_.last_row(name) : nullptr;
     if (last == nullptr) continue;
-    choice_.list_row(*last);
+    decision_engine_.on_list_entry(*last);
     kept += 1;
   }
   counters_.unreadable_entries += static_cast<std::uint64_t>(news.skipped);
   for (const list::Entry& entry : news.entries) {
-    choice_.list_row(entry.row);
+    decision_engine_.on_list_entry(entry.row);
     log::event(log::Level::debug, "list.server",
                {{"server", entry.row.server},
-                {"standing", entry.row.standing == Standing::up         ? "up"
-                             : entry.row.standing == Standing::draining ? "draining"
-                                                                        : "gone"}});
+                {"standing", entry.row.status == ServerStatus::up         ? "up"
+                             : entry.row.status == ServerStatus::draining ? "draining"
+                                                                          : "gone"}});
   }
-  choice_.list_closes();
+  decision_engine_.on_list_complete();
   http_front_.set_max_descriptors(client_descriptors(gatherer_config_, servers_.servers_listed()));
   if (!news.entries.empty())
     log::event(
@@ -379,16 +379,16 @@
 
 // Ids for the decision module: eight hexadecimal digits of the multiget's number, four zeros, and four digits
 // of the part's index plus one, which are 0 for the multiget itself.
-Rid Gatherer::part_id(const Rid& multiget, std::size_t part_index) const {
-  Rid out = multiget;
+RequestId Gatherer::part_id(const RequestId& multiget, std::size_t part_index) const {
+  RequestId out = multiget;
   char digits[5];
   std::snprintf(digits, sizeof digits, "%04zx", (part_index + 1) & 0xffff);
   std::copy_n(digits, 4, out.text.begin() + 12);
   return out;
 }
 
-Gatherer::PendingMultiget* Gatherer::find_pending(const Rid& part, std::size_t* part_index) {
-  Rid id = part;
+Gatherer::PendingMultiget* Gatherer::find_pending(const RequestId& part, std::size_t* part_index) {
+  RequestId id = part;
   std::fill_n(id.text.begin() + 12, 4, '0');
   const int place = pending_.find(id);
   if (place < 0) return nullptr;
@@ -418,11 +418,11 @@
     return fronts_[front]->refuse(request.caller, front::Refusal::duplicate_id, {});
   }
   const std::uint32_t number = next_number_++;
-  Rid id;
+  RequestId id;
   char digits[17];
   std::snprintf(digits, sizeof digits, "%08x00000000", number);
   std::copy_n(digits, 16, id.text.begin());
-  PendingMultiget& mg = pending_.at(pending_.take(id));
+  PendingMultiget& mg = pending_.at(pending_.insert(id));
   mg.front = front;
   mg.caller = request.caller;
   mg.request_id = multiget.id;
@@ -450,8 +450,9 @@
   log::event(log::Level::debug, "multiget.taken", {{"multiget", mg.request_id}, {"caller", request.caller}});
   const Duration client_deadline = request.first_byte_at + multiget.client_timeout;
   mg.deadline = stop_deadline_ ? std::min(client_deadline, *stop_deadline_) : client_deadline;
-  choice_.multiget_taken({id, static_cast<double>(number), multiget.op_type, multiget.customer,
-                          static_cast<int>(mg.parts.size()), mg.deadline, multiget.is_client_retry});
+  decision_engine_.on_multiget_received({id, static_cast<double>(number), multiget.op_type, multiget.customer,
+                                         static_cast<int>(mg.parts.size()), mg.deadline,
+                                         multiget.is_client_retry});
   submit_parts(mg);
 }
 
@@ -461,8 +462,8 @@
   for (std::size_t i = mg.step_begin; i < mg.parts.size(); ++i) {
     const Part& part = mg.parts[i];
     pending_count_ += 1;
-    choice_.part_taken({part_id(mg.id, i), static_cast<double>(number), part.shard, part.weight, part.key,
-                        part.work_estimate});
+    decision_engine_.on_part_received({part_id(mg.id, i), static_cast<double>(number), part.shard,
+                                       part.weight, part.key, part.work_estimate});
   }
 }
 
@@ -472,14 +473,15 @@
   if (!check_invariant(mg != nullptr, "a send that ends belongs to a multiget in hand")) return;
   Part& part = mg->parts[at];
   mg->sends_out -= 1;
-  if (ended.fate == Fate::revoked || ended.fate == Fate::expired || ended.fate == Fate::dropped)
+  if (ended.fate == SendOutcome::revoked || ended.fate == SendOutcome::expired ||
+      ended.fate == SendOutcome::dropped)
     mg->last_abandoned = std::max(mg->last_abandoned, loop_.now() - ended.elapsed);
-  if (ended.fate == Fate::returned && !part.returned && !mg->is_answered) {
+  if (ended.fate == SendOutcome::returned && !part.returned && !mg->is_answered) {
     part.returned = true;
     part.score = ended.score;
     part.value = std::move(ended.value);
   }
-  choice_.send_ended(ended.part, ended.send, ended.fate, ended.elapsed, ended.report);
+  decision_engine_.on_send_ended(ended.part, ended.send, ended.fate, ended.elapsed, ended.report);
   release_if_finished(*mg);
 }
 
@@ -487,20 +489,20 @@
   if (!mg.is_answered || mg.sends_out > 0) return;
   pending_count_ -= 1 + static_cast<int>(mg.parts.size());
   by_request_id_.erase(mg.request_id);
-  pending_.give_back(pending_.find(mg.id));
+  pending_.erase(pending_.find(mg.id));
 }
 
 // ---- decisions ----
 
 void Gatherer::execute_decisions() {
-  while (const auto verdict = choice_.next_verdict()) on_verdict(*verdict);
-  while (const auto gone = choice_.next_withdrawal()) {
+  while (const auto decision = decision_engine_.next_reply()) on_reply_decision(*decision);
+  while (const auto gone = decision_engine_.next_cancellation()) {
     const bool carried = std::any_of(carriers_.begin(), carriers_.end(),
                                      [&](const auto& one) { return one->withdraw(gone->part, gone->send); });
     if (!carried) servers_.withdraw(gone->part, gone->send);
   }
   std::map<std::string, std::vector<servers::Errand>> calls;
-  while (const auto send = choice_.next_send()) {
+  while (const auto send = decision_engine_.next_send()) {
     std::size_t at = 0;
     PendingMultiget* mg = find_pending(send->part, &at);
     if (!check_invariant(mg != nullptr && !mg->is_answered,
@@ -522,8 +524,8 @@
     errand.shard = part.shard;
     errand.once = mg->non_retriable;
     errand.text = mg->text;
-    errand.not_past = send->not_past;
-    errand.begun_by = send->begun_by;
+    errand.not_past = send->deadline;
+    errand.begun_by = send->latest_start;
     errand.pulled = loop_.now();
     mg->sends_out += 1;
     mg->last_send = loop_.now();
@@ -534,43 +536,44 @@
     carrier != nullptr ? carrier->call(server, std::move(errands))
                        : servers_.call(server, std::move(errands));
   }
-  while (const auto server = choice_.next_probe()) {
+  while (const auto server = decision_engine_.next_probe()) {
     carrier::Carrier* const carrier = carrier_for(*server);
     carrier != nullptr ? carrier->probe(std::string(*server)) : servers_.probe(std::string(*server));
   }
-  while (const auto call = choice_.next_list_call()) list_watch_.ask(*call == ListCall::watch);
-  while (const auto note = choice_.next_note())
+  while (const auto call = decision_engine_.next_list_call()) list_watch_.ask(*call == ListCall::watch);
+  while (const auto note = decision_engine_.next_log_message())
     log::event(log::Level::info, "decisions.note", {{"what", *note}});
-  while (const auto wake = choice_.next_wake())
+  while (const auto wake = decision_engine_.next_wake_delay())
     loop_.at(loop_.now() + *wake, [this] { is_wake_due_ = true; });
 }
 
-// Handles the verdict on a step, once per step. Connections are not ordered among each other: a send written
+// Handles the decision on a step, once per step. Connections are not ordered among each other: a send written
 // a moment ago may be read after the end of its step, and so appear to come after the final answer although
 // it was sent before. That is likely when a machine stalls: parts become overdue and second copies are sent
 // meanwhile, and then everything is read at once. So if a send of the last 50 ms is unanswered, or one from
 // before the end of a silence of all servers in that time, an answer is delayed until those 50 ms are over,
 // and a push-back or failure by one tick only. This affects multigets with a second copy just sent; the cost
 // is that these are answered later by that time.
-void Gatherer::on_verdict(const Verdict& verdict) {
-  PendingMultiget* mg = find_pending(verdict.multiget);
+void Gatherer::on_reply_decision(const ReplyDecision& decision) {
+  PendingMultiget* mg = find_pending(decision.multiget);
   if (!check_invariant(mg != nullptr && !mg->is_answered, "one final answer for each multiget")) return;
   const Duration latest_send =
       std::max(mg->sends_out > 0 ? mg->last_send : mg->last_abandoned, mg->last_abandoned);
   const Duration silent_until = servers_.silent_until();
   const Duration settled_at =
       (mg->sends_out > 0 ? std::max(latest_send, silent_until) : latest_send) + kSocketTolerance;
-  if (loop_.now() > settled_at) return finish_step(*mg, verdict);
+  if (loop_.now() > settled_at) return finish_step(*mg, decision);
   const Duration after_tick = loop_.now() + gatherer_config_.settings.tick;
-  loop_.at(verdict.ending == Ending::answer ? std::max(after_tick, settled_at) : after_tick, [this, verdict] {
-    PendingMultiget* late = find_pending(verdict.multiget);
-    if (late != nullptr && !late->is_answered) finish_step(*late, verdict);
-  });
+  loop_.at(decision.outcome == MultigetOutcome::answer ? std::max(after_tick, settled_at) : after_tick,
+           [this, decision] {
+             PendingMultiget* late = find_pending(decision.multiget);
+             if (late != nullptr && !late->is_answered) finish_step(*late, decision);
+           });
 }
 
-void Gatherer::finish_step(PendingMultiget& mg, const Verdict& verdict) {
-  if (verdict.ending == Ending::answer && mg.step == 1 && mg.second_step_parts > 0) {
-    return begin_second_step(mg, verdict.whole);
+void Gatherer::finish_step(PendingMultiget& mg, const ReplyDecision& decision) {
+  if (decision.outcome == MultigetOutcome::answer && mg.step == 1 && mg.second_step_parts > 0) {
+    return begin_second_step(mg, decision.complete);
   }
   const std::uint64_t caller = std::exchange(mg.caller, 0);
   by_caller_.erase({mg.front, caller});
@@ -578,25 +581,25 @@
   mark_answered(mg);
   if (totals::OpTypeCounts* count = op_type_counts(mg)) {
     const Duration took = loop_.now() - mg.first_byte_at;
-    if (verdict.ending == Ending::answer) {
+    if (decision.outcome == MultigetOutcome::answer) {
       count->answered += 1;
-      count->whole += verdict.whole ? 1 : 0;
+      count->whole += decision.complete ? 1 : 0;
       count->in_budget += took <= mg.latency_budget ? 1 : 0;
       count->latency.add(took);
     } else {
-      (verdict.ending == Ending::push_back ? count->pushed_back : count->failed) += 1;
+      (decision.outcome == MultigetOutcome::push_back ? count->pushed_back : count->failed) += 1;
     }
   }
-  if (verdict.ending == Ending::answer) {
+  if (decision.outcome == MultigetOutcome::answer) {
     std::vector<front::Value> values;
     for (std::size_t i = mg.step_begin; i < mg.parts.size(); ++i) {
       if (mg.parts[i].returned) values.push_back({mg.parts[i].shard, mg.parts[i].value});
     }
     counters_.answered += 1;
-    front.answer(caller, verdict.whole, values);
-  } else if (verdict.ending == Ending::push_back) {
+    front.answer(caller, decision.complete, values);
+  } else if (decision.outcome == MultigetOutcome::push_back) {
     counters_.pushed_back += 1;
-    front.refuse(caller, front::Refusal::pushed_back, verdict.come_back);
+    front.refuse(caller, front::Refusal::pushed_back, decision.retry_after);
   } else {
     counters_.failed += 1;
     front.refuse(caller, front::Refusal::failed, {});
@@ -604,9 +607,9 @@
   log::event(log::Level::debug, "multiget.ended",
              {{"multiget", mg.request_id},
               {"caller", caller},
-              {"how", verdict.ending == Ending::answer      ? "answered"
-                      : verdict.ending == Ending::push_back ? "pushed_back"
-                                                            : "failed"}});
+              {"how", decision.outcome == MultigetOutcome::answer      ? "answered"
+                      : decision.outcome == MultigetOutcome::push_back ? "pushed_back"
+                                                                       : "failed"}});
   release_if_finished(mg);
 }
 
--- a/src/gatherer/gatherer.h
+++ b/src/gatherer/gatherer.h
@@ -12,13 +12,13 @@
 #include <vector>
 
 #include "carrier/carrier.h"
-#include "choice.h"
 #include "clients/http_front.h"
 #include "config/gatherer_config.h"
+#include "decision_engine.h"
 #include "front/front.h"
 #include "list/watch.h"
 #include "log/log.h"
-#include "model/slab.h"
+#include "model/slot_map.h"
 #include "net/loop.h"
 #include "operator_file/terms.h"
 #include "servers/servers.h"
@@ -31,7 +31,7 @@
   // The configuration must outlive the gatherer; reload() changes its settings. `listening` may be a socket
   // that already listens at the address for clients.
   explicit Gatherer(config::GathererConfig& gatherer_config, net::Descriptor listening = {},
-                    const TimeSource& clock = machine_clock());
+                    const TimeSource& clock = system_time_source());
 
   // Adds a front beside the platform's own. Must be called before the first turn.
   void add(std::unique_ptr<front::Front> front);
@@ -75,7 +75,7 @@
   // A multiget from its request to the end of its last send. Its id and those of its parts differ only in the
   // last digits.
   struct PendingMultiget {
-    Rid id;
+    RequestId id;
     std::size_t front = 0;
     std::uint64_t caller = 0;   // 0 after its final answer or the disconnect of its client
     std::string request_id;     // as stated by the client
@@ -117,8 +117,8 @@
     std::uint64_t unreadable_entries = 0;  // of discovery's lists
   };
 
-  Rid part_id(const Rid& multiget, std::size_t part_index) const;
-  PendingMultiget* find_pending(const Rid& part, std::size_t* part_index = nullptr);
+  RequestId part_id(const RequestId& multiget, std::size_t part_index) const;
+  PendingMultiget* find_pending(const RequestId& part, std::size_t* part_index = nullptr);
   bool has_events() const;
   bool has_no_clients() const;
   bool is_writing() const;
@@ -129,8 +129,8 @@
   void fail_remaining_at_stop();
   void submit_parts(PendingMultiget& mg);
   void on_send_ended(servers::Ended& ended);
-  void on_verdict(const Verdict& verdict);
-  void finish_step(PendingMultiget& mg, const Verdict& verdict);
+  void on_reply_decision(const ReplyDecision& decision);
+  void finish_step(PendingMultiget& mg, const ReplyDecision& decision);
   void begin_second_step(PendingMultiget& mg, bool complete);
   void mark_answered(PendingMultiget& mg);
   void release_if_finished(PendingMultiget& mg);
@@ -146,20 +146,20 @@
   net::Address discovery_;  // of the latest configuration
   net::Loop loop_;
   Duration unix_start_;
-  Choice choice_;
+  DecisionEngine decision_engine_;
   servers::Servers servers_;
   std::vector<std::unique_ptr<carrier::Carrier>> carriers_;
   clients::HttpFront http_front_;
   std::vector<std::unique_ptr<front::Front>> extra_fronts_;
   std::vector<front::Front*> fronts_{&http_front_};  // all fronts, the platform's first
   list::Watch list_watch_;
-  Slab<PendingMultiget> pending_;
+  SlotMap<PendingMultiget> pending_;
   int pending_count_ = 0;  // multigets and parts, against the limit max_pending
   int unanswered_ = 0;     // multigets without their final answer
   std::uint32_t next_number_ = 1;
-  std::map<std::pair<std::size_t, std::uint64_t>, Rid> by_caller_;
-  std::map<std::string, Rid, std::less<>> by_request_id_;
-  std::vector<Rid> second_steps_to_submit_;  // whose parts are submitted in the next turn
+  std::map<std::pair<std::size_t, std::uint64_t>, RequestId> by_caller_;
+  std::map<std::string, RequestId, std::less<>> by_request_id_;
+  std::vector<RequestId> second_steps_to_submit_;  // whose parts are submitted in the next turn
   std::vector<list::News> list_updates_;
   std::vector<Duration> list_refusals_;  // upper bounds of the backoff after refused list requests
   bool is_wake_due_ = true;
--- a/src/gatherer/totals.cpp
+++ b/src/gatherer/totals.cpp
@@ -95,7 +95,7 @@
               {"not_connected", t.dial_failed},
               {"dropped", t.dropped},
               {"expired", t.expired},
-              {"servers_known", choice_.servers_known()},
+              {"servers_known", decision_engine_.known_server_count()},
               {"entries_unreadable", counters_.unreadable_entries},
               {"odd_frames", t.odd_frames},
               {"dials", a.dials},
--- a/tests/crossing_traces.cpp
+++ b/tests/crossing_traces.cpp
@@ -466,7 +466,7 @@
   print(full.received().find("repeat.1") == std::string::npos ? "the repeat is not written"
                                                               : "THE REPEAT IS WRITTEN");
   for (const servers::Ended& one : servers.ended)
-    print(one.fate == Fate::unused ? "it ends as never sent" : "IT ENDS OTHERWISE");
+    print(one.fate == SendOutcome::unused ? "it ends as never sent" : "IT ENDS OTHERWISE");
 }
 
 // A client disconnects in the same turn in which an error answer makes its part eligible for a retry, and
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -189,7 +189,7 @@
  public:
   Duration steady() const override { return now_; }
   Duration wall() const override { return 1'700'000'000s + now_; }
-  Duration machine_time(Duration) const override { return 0s; }
+  Duration machine_duration(Duration) const override { return 0s; }
   void advance() { now_ += 1ms; }
 
  private:
@@ -236,7 +236,7 @@
         gatherer_config(config::parse_gatherer_config(text)),
         manual_clock(clock),
         gatherer(gatherer_config, {},
-                 clock != nullptr ? static_cast<const TimeSource&>(*clock) : machine_clock()) {}
+                 clock != nullptr ? static_cast<const TimeSource&>(*clock) : system_time_source()) {}
   // Runs on a manual clock, with changes to the configuration's text.
   Scene(const std::string& entries, ManualClock& clock, const Changes& changes = {})
       : Scene(entries, "250000", "30000000", "5000", changes, &clock) {}
