--- a/src/carrier/carrier.cpp
+++ b/src/carrier/carrier.cpp
@@ -27,10 +27,10 @@
   std::optional<net::Loop::Timer> limit, idle;
 };
 
-Carrier::Carrier(net::Loop& loop, const config::Carriage& carriage, SessionFactory make_session,
+Carrier::Carrier(net::Loop& loop, const config::ServiceSettings& settings, SessionFactory make_session,
                  std::function<bool()> make_room)
     : loop_(loop),
-      carriage_(carriage),
+      settings_(settings),
       make_session_(make_session),
       make_room_(std::move(make_room)),
       closing_servers_(kClosingServerHold) {}
@@ -248,7 +248,7 @@
                                [this, &connection] { on_data(connection); },
                                [this, &connection] { on_drained(connection); },
                                [this, &connection](bool) { on_closed(connection); }});
-    connection.limit = loop_.call_at(loop_.now() + carriage_.connect_timeout, [this, number] {
+    connection.limit = loop_.call_at(loop_.now() + settings_.connect_timeout, [this, number] {
       const auto at = connections_.find(number);
       if (at == connections_.end()) return;
       at->second->limit.reset();
@@ -385,8 +385,8 @@
         return on_closed(connection);
       case SessionEvent::Kind::protocol_error: {
         counters_.out_of_step += 1;
-        static log::Throttled throttled(log::Level::warning, "carrier.out_of_step");
-        throttled.event({{"server", connection.server}, {"why", event.reason}});
+        static log::RateLimitedEvent throttled(log::Level::warning, "carrier.out_of_step");
+        throttled.write({{"server", connection.server}, {"why", event.reason}});
         return on_closed(connection);
       }
     }
@@ -403,7 +403,7 @@
   }
   const std::uint64_t number = connection.number;
   if (connection.idle) loop_.cancel(*connection.idle);
-  connection.idle = loop_.call_at(loop_.now() + carriage_.idle / 2, [this, number] {
+  connection.idle = loop_.call_at(loop_.now() + settings_.idle_timeout / 2, [this, number] {
     const auto at = connections_.find(number);
     if (at == connections_.end() || at->second->pending) return;
     at->second->idle.reset();
@@ -435,7 +435,7 @@
 // Ends a send. No other function reports a fate.
 void Carrier::finish_send(const SendKey& key, SendOutcome fate, std::string value) {
   const auto at = sends_.find(key);
-  if (!must_hold(at != sends_.end(), "a part on a carrier has one fate")) return;
+  if (!check_invariant(at != sends_.end(), "a part on a carrier has one fate")) return;
   if (at->second.expiry) loop_.cancel(*at->second.expiry);
   servers::SendResult out;
   out.part = key.first;
@@ -476,7 +476,7 @@
   connection.stream->flush();
   // A connection whose cancel is not answered within the connect time-out is closed.
   const std::uint64_t number = connection.number;
-  connection.limit = loop_.call_at(loop_.now() + carriage_.connect_timeout, [this, number] {
+  connection.limit = loop_.call_at(loop_.now() + settings_.connect_timeout, [this, number] {
     const auto still = connections_.find(number);
     if (still == connections_.end()) return;
     still->second->limit.reset();
--- a/src/carrier/carrier.h
+++ b/src/carrier/carrier.h
@@ -11,7 +11,7 @@
 
 #include "carrier/fates.h"
 #include "carrier/protocol_session.h"
-#include "config/commission.h"
+#include "config/gatherer_config.h"
 #include "list/list_update.h"
 #include "net/loop.h"
 #include "net/socket.h"
@@ -26,7 +26,7 @@
 
 class Carrier {
  public:
-  Carrier(net::Loop& loop, const config::Carriage& carriage, SessionFactory make_session,
+  Carrier(net::Loop& loop, const config::ServiceSettings& settings, SessionFactory make_session,
           std::function<bool()> make_room);
   ~Carrier();
 
@@ -85,7 +85,7 @@
   void abandon_send(const SendKey& key, SendOutcome fate);
 
   net::Loop& loop_;
-  const config::Carriage& carriage_;
+  const config::ServiceSettings& settings_;
   SessionFactory make_session_;
   std::function<bool()> make_room_;
   std::map<std::string, std::string, std::less<>> databases_;
--- a/src/keeper/keeper.cpp
+++ b/src/keeper/keeper.cpp
@@ -35,7 +35,7 @@
 
 std::optional<std::int64_t> settings_index_of(const json& event) {
   if (!event.contains("settings_index")) return std::nullopt;
-  return config::whole(event, "settings_index");
+  return config::integer(event, "settings_index");
 }
 
 // Returns a share below 0.5 that depends on the name alone, so that the keepers of a fleet do not restart
@@ -288,7 +288,7 @@
     supervisor_->tick(loop_.now(), loop_.clock().wall());
     if (name == "window") {
       totals::Window window = totals::read_window(config::object(event, "window"));
-      const auto count = static_cast<std::uint64_t>(config::whole(event, "number"));
+      const auto count = static_cast<std::uint64_t>(config::integer(event, "number"));
       if (slot.last_window_number != 0 && count > slot.last_window_number + 1)
         slot.missed_windows += count - slot.last_window_number - 1;
       slot.last_window_number = count;
@@ -535,7 +535,7 @@
          {"windows", slot.windows},
          {"windows_missed", slot.missed_windows},
          {"lines_unreadable", slot.unreadable_lines},
-         {"broken_invariants", slot.series.since_start().broken_invariants},
+         {"broken_invariants", slot.series.since_start().invariant_violations},
          {"totals", counts_json(slot.series.since_start())},
          {"recent", counts_json(slot.series.merged(recent, recent + 2 * kRecentWindowMs))}});
   }
--- a/src/keeper/orders.cpp
+++ b/src/keeper/orders.cpp
@@ -25,7 +25,7 @@
 constexpr std::int64_t kMaxTrialMs = 7 * 24 * 3600 * 1000LL;
 
 std::uint64_t unsigned_integer(const json& from, const char* field) {
-  const std::int64_t value = config::whole(from, field);
+  const std::int64_t value = config::integer(from, field);
   if (value < 0) throw BadInput(std::string(field) + ": is negative");
   return static_cast<std::uint64_t>(value);
 }
@@ -77,8 +77,8 @@
     if (out.from.empty() || out.from.front() != '/') throw BadInput("from: not an absolute path");
   }
   if (from.contains("if_in_force")) out.if_in_force = config::text(from, "if_in_force");
-  out.not_after_ms = config::whole_or(from, "not_after_ms", 0);
-  const std::int64_t trial = config::whole_or(from, "trial_ms", 0);
+  out.not_after_ms = config::integer_or(from, "not_after_ms", 0);
+  const std::int64_t trial = config::integer_or(from, "trial_ms", 0);
   if (trial < 0 || trial > kMaxTrialMs) throw BadInput("trial_ms: out of range");
   if (trial > 0 && out.kind != OrderKind::use) throw BadInput("trial_ms: only of the order use");
   out.trial = std::chrono::milliseconds(trial);
@@ -117,7 +117,7 @@
     throw BadInput("state file: truncated");
   const json header = config::parse(std::string_view(text).substr(0, end));
   if (!header.is_object()) throw BadInput("state file: the first line is not an object");
-  if (const std::int64_t format = config::whole(header, "format"); format != kStateFormat)
+  if (const std::int64_t format = config::integer(header, "format"); format != kStateFormat)
     throw BadInput("state file: format " + std::to_string(format) + " is not this program's");
   const std::string body_text = text.substr(end + 1, text.size() - end - 2);
   if (config::text(header, "checksum") != checksum_of(body_text))
@@ -130,7 +130,7 @@
   if (body.contains("order")) out.order = parse_order(body["order"]);
   out.outcome = parse_outcome(config::text(body, "outcome")).value_or(Outcome::none);
   out.why = config::text(body, "why");
-  out.since_ms = config::whole(body, "since_ms");
+  out.since_ms = config::integer(body, "since_ms");
   out.starts = unsigned_integer(body, "starts");
   out.unplanned_exits = unsigned_integer(body, "ends");
   out.crash_score = config::number(body.at("strikes"), "strikes");
--- a/src/keeper/program.cpp
+++ b/src/keeper/program.cpp
@@ -85,7 +85,8 @@
   sigprocmask(SIG_BLOCK, &signals_handled, nullptr);
   signal(SIGPIPE, SIG_IGN);
   try {
-    log::open(log::Level::info, log_format == "json" ? log::Form::json : log::Form::plain, options.name);
+    log::configure(log::Level::info, log_format == "json" ? log::Format::json : log::Format::plain,
+                   options.name);
     const auto address = net::parse_address(control);
     if (!address) throw config::BadInput("--control: not an address: " + control);
     if (const std::string why = control_address_error(*address); !why.empty())
--- a/src/list/discovery_client.cpp
+++ b/src/list/discovery_client.cpp
@@ -13,12 +13,12 @@
 
 }  // namespace
 
-DiscoveryClient::DiscoveryClient(net::Loop& loop, const config::Commission& commission, Duration unix_start,
+DiscoveryClient::DiscoveryClient(net::Loop& loop, const config::GathererConfig& config, Duration unix_start,
                                  Callbacks callbacks)
     : loop_(loop),
-      carriage_(commission.carriage),
-      address_(commission.discovery),
-      host_(commission.discovery_host),
+      settings_(config.settings),
+      address_(config.discovery),
+      host_(config.discovery_host),
       unix_start_(unix_start),
       callbacks_(std::move(callbacks)),
       connections_{Connection{{}, {}, {net::HttpParser::Kind::response, kMaxListBytes}, {}},
@@ -119,7 +119,7 @@
   if (message.target_or_status != "200") return fail(connection, "an answer other than 200");
   ListUpdate update;
   try {
-    update = parse_list_update(config::parse(message.body), carriage_, unix_start_);
+    update = parse_list_update(config::parse(message.body), settings_, unix_start_);
   } catch (const config::BadInput& error) {
     log::event(log::Level::warning, "discovery.bad_list", {{"why", error.what()}});
     return fail(connection, "the list cannot be read");
@@ -137,7 +137,7 @@
   callbacks_.on_update(std::move(update));
   if (watching_) {
     snapshot_wanted_ = false;
-    call(connection, std::min(carriage_.ask_every, kMaxWait));
+    call(connection, std::min(settings_.list_poll_interval, kMaxWait));
   }
 }
 
--- a/src/list/discovery_client.h
+++ b/src/list/discovery_client.h
@@ -24,7 +24,7 @@
     std::function<void(Duration max_backoff)> on_failed;
   };
 
-  DiscoveryClient(net::Loop& loop, const config::Commission& commission, Duration unix_start,
+  DiscoveryClient(net::Loop& loop, const config::GathererConfig& config, Duration unix_start,
                   Callbacks callbacks);
 
   // Sets the version of the list that the owner holds already.
@@ -60,7 +60,7 @@
   void update_reserve(std::size_t extra = 0);
 
   net::Loop& loop_;
-  const config::Carriage& carriage_;
+  const config::ServiceSettings& settings_;
   net::Address address_;
   std::string host_;
   Duration unix_start_;
--- a/src/list/list_update.cpp
+++ b/src/list/list_update.cpp
@@ -36,7 +36,7 @@
   }
 }
 
-ServerEntry read_entry(const json& from, const config::Carriage& carriage, Duration unix_start,
+ServerEntry read_entry(const json& from, const config::ServiceSettings& settings, Duration unix_start,
                        int& invalid) {
   ServerEntry out;
   out.row.server = config::text(from, "name");
@@ -45,15 +45,15 @@
   if (!address) throw BadInput("address: not an address with a port");
   out.addresses.push_back(*address);
   read_further_addresses(from, out, invalid);
-  const auto zone = std::find(carriage.zones.begin(), carriage.zones.end(), config::text(from, "zone"));
-  if (zone == carriage.zones.end()) throw BadInput("zone: unknown");
-  out.row.zone = static_cast<int>(zone - carriage.zones.begin());
-  const std::int64_t cell = config::whole_or(from, "group", 0);
-  if (cell < 0 || cell >= carriage.cells) throw BadInput("group: out of range");
+  const auto zone = std::find(settings.zones.begin(), settings.zones.end(), config::text(from, "zone"));
+  if (zone == settings.zones.end()) throw BadInput("zone: unknown");
+  out.row.zone = static_cast<int>(zone - settings.zones.begin());
+  const std::int64_t cell = config::integer_or(from, "group", 0);
+  if (cell < 0 || cell >= settings.cells) throw BadInput("group: out of range");
   out.row.cell = static_cast<int>(cell);
   out.row.status = parse_status(config::text(from, "status"));
   out.row.size = config::number_or(from, "weight", 1);
-  const std::int64_t since = config::whole_or(from, "since_ms", 0);
+  const std::int64_t since = config::integer_or(from, "since_ms", 0);
   if (since < 0 || since > 1'000'000'000'000'000) throw BadInput("since_ms: out of range");
   if (since != 0) out.row.started = std::chrono::milliseconds(since) - unix_start;
   return out;
@@ -74,15 +74,15 @@
 
 }  // namespace
 
-ListUpdate parse_list_update(const json& from, const config::Carriage& carriage, Duration unix_start) {
+ListUpdate parse_list_update(const json& from, const config::ServiceSettings& settings, Duration unix_start) {
   ListUpdate out;
-  out.index = config::whole(from, "index");
-  const json& whole = config::need(from, "snapshot");
+  out.index = config::integer(from, "index");
+  const json& whole = config::required(from, "snapshot");
   if (!whole.is_boolean()) throw BadInput("snapshot: not true or false");
   out.is_snapshot = whole.get<bool>();
   for (const json& one : config::array(from, "endpoints")) {
     try {
-      out.entries.push_back(read_entry(one, carriage, unix_start, out.invalid_addresses));
+      out.entries.push_back(read_entry(one, settings, unix_start, out.invalid_addresses));
     } catch (const BadInput& error) {
       record_invalid(one, error, out);
     }
--- a/src/list/list_update.h
+++ b/src/list/list_update.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "config/commission.h"
+#include "config/gatherer_config.h"
 #include "model/types.h"
 #include "net/address.h"
 
@@ -33,7 +33,7 @@
 // Parses a response of discovery. unix_start is the Unix time at which the gatherer's own clock was zero.
 // Throws config::BadInput where the response as a whole is invalid. A single invalid entry is skipped and
 // counted; its server keeps its former state, even in a snapshot.
-ListUpdate parse_list_update(const config::json& response, const config::Carriage& carriage,
+ListUpdate parse_list_update(const config::json& response, const config::ServiceSettings& settings,
                              Duration unix_start);
 
 }  // namespace marbledyke::list
--- a/src/servers/shard_server_pool.cpp
+++ b/src/servers/shard_server_pool.cpp
@@ -72,12 +72,12 @@
   std::optional<net::Loop::Timer> probe_expiry, idle_expiry;
 };
 
-ShardServerPool::ShardServerPool(net::Loop& loop, const config::Carriage& carriage, std::uint32_t seed,
+ShardServerPool::ShardServerPool(net::Loop& loop, const config::ServiceSettings& settings, std::uint32_t seed,
                                  std::function<bool()> make_room)
-    : loop_(loop), carriage_(carriage), make_room_(std::move(make_room)), address_book_({}, seed) {
-  addresses::ConnectSettings settings;
-  settings.attempt = carriage.connect_timeout;
-  address_book_.configure(settings, {});
+    : loop_(loop), settings_(settings), make_room_(std::move(make_room)), address_book_({}, seed) {
+  addresses::ConnectSettings connect_settings;
+  connect_settings.attempt = settings.connect_timeout;
+  address_book_.configure(connect_settings, {});
 }
 
 ShardServerPool::~ShardServerPool() = default;
@@ -135,7 +135,7 @@
 
 const ListEntry* ShardServerPool::last_row(std::string_view server) const {
   const auto at = rows_.find(server);
-  if (at == rows_.end() || at->second.zone == kNoZone || at->second.cell >= carriage_.cells) return nullptr;
+  if (at == rows_.end() || at->second.zone == kNoZone || at->second.cell >= settings_.cells) return nullptr;
   return &at->second;
 }
 
@@ -160,7 +160,7 @@
 
 void ShardServerPool::call(const std::string& server, std::vector<SendRequest> requests) {
   destroy_closed();
-  const auto max_parts = static_cast<std::size_t>(carriage_.parts_a_call);
+  const auto max_parts = static_cast<std::size_t>(settings_.max_parts_per_call);
   for (std::size_t from = 0; from < requests.size(); from += max_parts) {
     const std::size_t to = std::min(requests.size(), from + max_parts);
     std::vector<SendRequest> batch(
@@ -219,7 +219,7 @@
   connection->probe_written = false;
   connection->probe_at = loop_.now();
   const std::uint64_t number = connection->number;
-  connection->probe_expiry = loop_.call_at(loop_.now() + carriage_.connect_timeout, [this, number] {
+  connection->probe_expiry = loop_.call_at(loop_.now() + settings_.connect_timeout, [this, number] {
     const auto at = connections_.find(number);
     if (at == connections_.end()) return;
     at->second->probe_expiry.reset();
@@ -241,7 +241,7 @@
 ShardServerPool::Connection* ShardServerPool::connection_for(const std::string& server,
                                                              const std::vector<SendRequest>& requests) {
   if (!rows_.contains(server)) return nullptr;
-  const auto max_parts = static_cast<std::size_t>(carriage_.parts_a_connection);
+  const auto max_parts = static_cast<std::size_t>(settings_.max_parts_per_connection);
   const auto once = [](const SendRequest& request) { return request.non_retriable; };
   const bool isolate = std::any_of(requests.begin(), requests.end(), once);
   Connection* shared = nullptr;
@@ -334,7 +334,7 @@
   }
   Connection* const owner = &connection;
   const int attempt = step.attempt;
-  const std::size_t most_out = static_cast<std::size_t>(carriage_.parts_a_call) * 66 * 1024 + 4096;
+  const std::size_t most_out = static_cast<std::size_t>(settings_.max_parts_per_call) * 66 * 1024 + 4096;
   Candidate candidate;
   candidate.number = attempt;
   candidate.to = step.to;
@@ -558,7 +558,7 @@
       continue;
     }
     end_frame(bytes, place);
-    if (!must_hold(connection.stream->out().append(bytes), "a frame fits its ring")) {
+    if (!check_invariant(connection.stream->out().append(bytes), "a frame fits its ring")) {
       close(connection, "frame too large to write");
       return;
     }
@@ -576,7 +576,7 @@
       send.progress_at = loop_.now();
       if (!send.ended) continue;
       connection.queued_frames.push_front({'2', {id}});
-      connection.cancelled_ids[id] = send.request.deadline + carriage_.longest_timeout;
+      connection.cancelled_ids[id] = send.request.deadline + settings_.max_route_timeout;
       connection.sends.erase(id);
     }
   } else if (frame.type == '4') {
@@ -586,7 +586,7 @@
 }
 
 void ShardServerPool::on_data(Connection& connection) {
-  if (loop_.now() - last_heard_ > 4 * carriage_.tick && !pending_sends_.empty()) silent_until_ = loop_.now();
+  if (loop_.now() - last_heard_ > 4 * settings_.tick && !pending_sends_.empty()) silent_until_ = loop_.now();
   last_heard_ = loop_.now();
   connection.last_heard = loop_.now();
   connection.responsive = true;
@@ -614,13 +614,13 @@
 void ShardServerPool::arm_frame_timeout(Connection& connection) {
   if (std::exchange(connection.frame_timeout_armed, true)) return;
   const std::uint64_t number = connection.number;
-  loop_.call_at(loop_.now() + carriage_.connect_timeout, [this, number] {
+  loop_.call_at(loop_.now() + settings_.connect_timeout, [this, number] {
     const auto at = connections_.find(number);
     if (at == connections_.end()) return;
     Connection& late = *at->second;
     late.frame_timeout_armed = false;
     if (!late.parser.has_started()) return;
-    if (loop_.now() < late.last_heard + carriage_.connect_timeout) return arm_frame_timeout(late);
+    if (loop_.now() < late.last_heard + settings_.connect_timeout) return arm_frame_timeout(late);
     counters_.odd_frames += 1;
     close(late, "frame incomplete after the connect time-out");
   });
@@ -628,7 +628,7 @@
 
 void ShardServerPool::on_frame(Connection& connection, Frame& frame) {
   if (frame.type == '5') {
-    auto answer = parse_part_answer(frame, carriage_.report_fields);
+    auto answer = parse_part_answer(frame, settings_.report_fields);
     if (!answer) {
       counters_.odd_frames += 1;
       return close(connection, "invalid answer");
@@ -653,7 +653,7 @@
       finish_probe(connection, SendOutcome::app_error);
     } else {
       finish_probe(connection, SendOutcome::returned,
-                   parse_load_report(frame.payload, carriage_.report_fields));
+                   parse_load_report(frame.payload, settings_.report_fields));
     }
     manage_idle(connection);
   } else if (frame.type == 'X') {
@@ -710,7 +710,7 @@
     report_result(send.request, fate);
   } else {
     check_silence(connection, send.progress_at);
-    connection.cancelled_ids[id] = send.request.deadline + carriage_.longest_timeout;
+    connection.cancelled_ids[id] = send.request.deadline + settings_.max_route_timeout;
     finish_send(connection, id, fate);
     connection.queued_frames.push_back({'2', {id}});
     write_next_frame(connection);
@@ -724,7 +724,7 @@
 // would be lost. The connection is used again when it responds. The cost: a server that is only slow gets a
 // few more connections.
 void ShardServerPool::check_silence(Connection& connection, Duration since) {
-  if (connection.last_heard > since || loop_.now() - since < carriage_.connect_timeout) return;
+  if (connection.last_heard > since || loop_.now() - since < settings_.connect_timeout) return;
   if (std::exchange(connection.responsive, false) && !connection.has_responded) {
     address_book_.on_connection_failed(connection.server, connection.address,
                                        addresses::AttemptOutcome::unresponsive, loop_.now());
@@ -755,7 +755,8 @@
     return close(connection, connection.responsive ? "the server accepts no new sends" : "no response");
   if (connection.idle_expiry) return;
   const std::uint64_t number = connection.number;
-  const Duration allowed = std::max(carriage_.idle - carriage_.connect_timeout, carriage_.idle / 2);
+  const Duration allowed =
+      std::max(settings_.idle_timeout - settings_.connect_timeout, settings_.idle_timeout / 2);
   connection.idle_expiry = loop_.call_at(connection.last_used + allowed, [this, number, allowed] {
     const auto at = connections_.find(number);
     if (at == connections_.end()) return;
--- a/src/servers/shard_server_pool.h
+++ b/src/servers/shard_server_pool.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "addresses/address_book.h"
-#include "config/commission.h"
+#include "config/gatherer_config.h"
 #include "list/list_update.h"
 #include "net/loop.h"
 #include "net/socket.h"
@@ -64,7 +64,7 @@
  public:
   // make_room is called when no descriptor is left; it returns whether it closed one. The carriage settings
   // have to outlive the pool.
-  ShardServerPool(net::Loop& loop, const config::Carriage& carriage, std::uint32_t seed,
+  ShardServerPool(net::Loop& loop, const config::ServiceSettings& settings, std::uint32_t seed,
                   std::function<bool()> make_room);
   ~ShardServerPool();
 
@@ -139,7 +139,7 @@
   void destroy_closed();
 
   net::Loop& loop_;
-  const config::Carriage& carriage_;
+  const config::ServiceSettings& settings_;
   std::function<bool()> make_room_;
   addresses::AddressBook address_book_;
   std::map<std::string, ListEntry, std::less<>> rows_;                // the listed servers, up or draining
--- a/tests/address_rig.cpp
+++ b/tests/address_rig.cpp
@@ -30,13 +30,13 @@
 // The grace also lasts for this many turns of the loop, so that a stalled machine does not count as a breach.
 constexpr long kGraceTurns = 20;
 
-config::Carriage carriage() {
-  config::Carriage out;
-  out.parts_a_call = 16;
-  out.parts_a_connection = 100;
+config::ServiceSettings settings() {
+  config::ServiceSettings out;
+  out.max_parts_per_call = 16;
+  out.max_parts_per_connection = 100;
   out.connect_timeout = 250ms;
-  out.idle = 15s;
-  out.longest_timeout = 4s;
+  out.idle_timeout = 15s;
+  out.max_route_timeout = 4s;
   out.tick = 5ms;
   return out;
 }
@@ -49,12 +49,12 @@
 
 struct Rig {
   explicit Rig(const standins::LeafOptions& options = {}, std::uint32_t seed = 7)
-      : carriage_(carriage()),
-        servers(loop, carriage_, seed, [] { return false; }),
+      : settings_(settings()),
+        servers(loop, settings_, seed, [] { return false; }),
         leaf(loop, options, seed) {
     loop.read_clock();
     addresses::ConnectSettings settings;
-    settings.attempt = carriage_.connect_timeout;
+    settings.attempt = settings_.connect_timeout;
     settings.hold = 200ms;
     settings.hold_most = 2s;
     servers.configure(settings, {});
@@ -123,7 +123,7 @@
   }
 
   net::Loop loop;
-  config::Carriage carriage_;
+  config::ServiceSettings settings_;
   servers::ShardServerPool servers;
   Leaf leaf;
   std::uint64_t number = 0;
@@ -618,8 +618,8 @@
 
 int main(int count, char** words) {
   if (count < 2) return 2;
-  log::open(std::getenv("MARBLEDYKE_LOG") != nullptr ? log::Level::debug : log::Level::error,
-            log::Form::plain, "rig");
+  log::configure(std::getenv("MARBLEDYKE_LOG") != nullptr ? log::Level::debug : log::Level::error,
+                 log::Format::plain, "rig");
   const std::string what = words[1];
   if (what == "fates")
     fates();
