--- a/src/emulator/rollouts.cpp
+++ b/src/emulator/rollouts.cpp
@@ -8,11 +8,11 @@
 namespace marbledyke::emulator {
 
 using namespace std::chrono_literals;
-using rollout::Act;
-using rollout::At;
+using rollout::Action;
 using rollout::Block;
-using rollout::Conductor;
+using rollout::Controller;
 using rollout::Judge;
+using rollout::KeeperState;
 using rollout::Side;
 using rollout::State;
 
@@ -37,8 +37,8 @@
 rollout::Plan usual_plan() {
   rollout::Plan out;
   out.name = out.version = "new";
-  out.at_a_time = 20;
-  out.before = 60s;
+  out.max_concurrent = 20;
+  out.baseline_time = 60s;
   out.burn_in = 5s;
   out.stages = {{"first", 0, 0.02, "", "", 120s},
                 {"tenth", 0, 0.1, "", "", 120s},
@@ -69,12 +69,12 @@
     }
   }
   const int ops = static_cast<int>(model.op_share.size());
-  Conductor conductor(plan, members, {}, 1, 0s, kWall);
+  Controller controller(plan, members, {}, 1, 0s, kWall);
   std::unique_ptr<Judge> judge;
   std::vector<std::vector<std::vector<Side>>> before;  // by block, gatherer, op type
   RolloutResult out;
-  const Span block = std::chrono::seconds(plan.limits.block_s);
-  conductor.start();
+  const Span block = std::chrono::seconds(plan.limits.block_seconds);
+  controller.start();
 
   const auto is_new = [&](const One& one) { return one.version == plan.version; };
   const auto stratum = [&](int op, int zone) {
@@ -94,7 +94,8 @@
       const One& one = fleet[g];
       const bool cluster = between(0, 1) < model.clusters;
       for (int op = 0; op < ops; ++op) {
-        const double mean = model.rate * model.op_share[static_cast<std::size_t>(op)] * plan.limits.block_s;
+        const double mean =
+            model.rate * model.op_share[static_cast<std::size_t>(op)] * plan.limits.block_seconds;
         const auto asked = static_cast<std::uint64_t>(std::poisson_distribution<int>(mean)(chance));
         const double own = std::min(model.bad * one.unlike + common + (cluster ? model.cluster_bad : 0), 1.0);
         const bool here = (flaw.op_type < 0 || flaw.op_type == op) &&
@@ -104,7 +105,7 @@
         const auto bad = static_cast<std::uint64_t>(
             std::binomial_distribution<int>(static_cast<int>(asked), std::min(own + by_flaw, 1.0))(chance));
         Side& side = sides[g][static_cast<std::size_t>(op)];
-        side.asked = side.ended = asked;
+        side.received = side.completed = asked;
         side.good = asked - bad;
         side.failed = bad / 2;
         side.pushed_back = bad - bad / 2;
@@ -112,9 +113,9 @@
         side.slow = static_cast<std::uint64_t>(
             std::binomial_distribution<int>(static_cast<int>(side.answered), 0.1)(chance));
         side.sends = asked * 4;
-        side.further = static_cast<std::uint64_t>(
+        side.repeated_sends = static_cast<std::uint64_t>(
             std::binomial_distribution<int>(static_cast<int>(side.sends), 0.03)(chance));
-        side.cpu = 50e-6 * static_cast<double>(asked) * between(0.95, 1.05);
+        side.cpu_seconds = 50e-6 * static_cast<double>(asked) * between(0.95, 1.05);
         out.asked += static_cast<double>(asked);
         out.lost += static_cast<double>(asked) * by_flaw;
       }
@@ -136,7 +137,7 @@
   };
 
   Span next_block = block;
-  for (Span now{}; now < kLongest && !conductor.over(); now += 1s) {
+  for (Span now{}; now < kLongest && !controller.is_over(); now += 1s) {
     for (std::size_t g = 0; g < fleet.size(); ++g) {
       One& one = fleet[g];
       if (now < one.changes_at) continue;
@@ -145,39 +146,39 @@
       if (one.version != one.changes_to) one.started = now;
       one.version = one.changes_to;
     }
-    conductor.tick(now, kWall + now);
+    controller.on_tick(now, kWall + now);
     for (std::size_t g = 0; g < fleet.size(); ++g) {
       const One& one = fleet[g];
-      rollout::Report report;
-      report.in_force = one.version;
+      rollout::KeeperReport report;
+      report.active_version = one.version;
       report.outcome = one.outcome;
-      report.epoch = 1;
-      report.number = one.number;
-      report.has_version = report.serves = true;
-      conductor.report(members[g].name, report);
+      report.order_epoch = 1;
+      report.order_number = one.number;
+      report.has_version = report.is_serving = true;
+      controller.on_report(members[g].name, report);
     }
-    while (const auto act = conductor.next()) {
-      switch (act->what) {
-        case Act::What::use:
-        case Act::What::back: {
-          One& one = fleet[static_cast<std::size_t>(std::stoi(act->keeper.substr(1)))];
+    while (const auto action = controller.next_action()) {
+      switch (action->kind) {
+        case Action::Kind::use:
+        case Action::Kind::roll_back: {
+          One& one = fleet[static_cast<std::size_t>(std::stoi(action->keeper.substr(1)))];
           one.outcome = "under_way";
-          one.number = act->number;
-          one.changes_to = act->version;
+          one.number = action->number;
+          one.changes_to = action->version;
           one.changes_at = now + kProof;
           break;
         }
-        case Act::What::confirm:
-          fleet[static_cast<std::size_t>(std::stoi(act->keeper.substr(1)))].outcome = "done";
+        case Action::Kind::confirm:
+          fleet[static_cast<std::size_t>(std::stoi(action->keeper.substr(1)))].outcome = "done";
           break;
-        case Act::What::begin_judging: {
-          judge = std::make_unique<Judge>(plan.limits, rollout::comparisons(plan, ops, model.zones));
+        case Action::Kind::start_comparison: {
+          judge = std::make_unique<Judge>(plan.limits, rollout::max_comparisons(plan, ops, model.zones));
           for (const auto& sides : before) {
             std::vector<char> side_new(fleet.size()), counts(fleet.size(), 1);
             for (std::size_t g = 0; g < fleet.size(); ++g) side_new[g] = is_new(fleet[g]) ? 1 : 0;
-            judge->before(block_of(sides, side_new, counts));
+            judge->add_baseline_block(block_of(sides, side_new, counts));
           }
-          judge->begin();
+          judge->start_comparison();
           break;
         }
         default:
@@ -187,23 +188,24 @@
     if (now < next_block) continue;
     next_block += block;
     const auto sides = drawn(now);
-    if (conductor.state() == State::checking || conductor.state() == State::watching) before.push_back(sides);
+    if (controller.state() == State::checking || controller.state() == State::watching)
+      before.push_back(sides);
     if (judge == nullptr) continue;
     std::vector<char> side_new(fleet.size()), counts(fleet.size());
     for (std::size_t g = 0; g < fleet.size(); ++g) {
       side_new[g] = is_new(fleet[g]) ? 1 : 0;
       counts[g] = now - fleet[g].started >= plan.burn_in + block || fleet[g].started == Span{} ? 1 : 0;
     }
-    if (conductor.state() == State::soaking || conductor.state() == State::waiting)
-      judge->after(block_of(sides, side_new, counts));
-    conductor.judged(judge->look(conductor.soak_over()));
+    if (controller.state() == State::soaking || controller.state() == State::waiting)
+      judge->add_comparison_block(block_of(sides, side_new, counts));
+    controller.on_finding(judge->evaluate(controller.is_soak_over()));
   }
-  out.end = conductor.state();
-  out.stage = conductor.kept().stage;
-  out.why = conductor.kept().why;
+  out.end = controller.state();
+  out.stage = controller.saved().stage;
+  out.why = controller.saved().reason;
   out.seconds =
-      static_cast<double>(conductor.kept().since_ms) / 1000 - std::chrono::duration<double>(kWall).count();
-  out.impossible = conductor.impossible();
+      static_cast<double>(controller.saved().since_ms) / 1000 - std::chrono::duration<double>(kWall).count();
+  out.impossible = controller.impossible_events();
 
   // By the clock alone: each stage for its soak, and the last as long as it takes to see it by eye: 10
   // minutes.
--- a/src/explore/rollout_world.cpp
+++ b/src/explore/rollout_world.cpp
@@ -1,4 +1,4 @@
-// A rolling change in the small: the shipped conductor (rollout::Conductor), up to two of them, over two or
+// A rolling change in the small: the shipped conductor (rollout::Controller), up to two of them, over two or
 // three keepers that judge orders by the shipped keeper::judge and keep them by keeper::Minder::with, orders
 // that are lost, repeated and overtaken on their way, reports that come late, a conductor that is killed or
 // paused, and a successor with or without what it kept. A process of a keeper comes up or does not; how it
@@ -17,7 +17,7 @@
 using namespace std::chrono_literals;
 using keeper::Order;
 using keeper::Outcome;
-using rollout::Conductor;
+using rollout::Controller;
 using rollout::State;
 
 constexpr int kKeepers = 3;  // at most
@@ -54,10 +54,10 @@
     rollout::Plan out;
     out.name = "small";
     out.version = kNew;
-    out.before = 3s;
+    out.baseline_time = 3s;
     out.burn_in = 0s;
-    out.swap_limit = 12s;
-    out.longest_wait = 24s;
+    out.swap_timeout = 12s;
+    out.max_wait = 24s;
     out.stages = {{"one", 1, 0, "", "", 3s}, {"all", 0, 1, "", "", 3s}};
     return out;
   }();
@@ -164,12 +164,12 @@
     // Its trial is longer than any conductor waits, so it runs out only where nobody is heard.
     if (in(kTakesBack, kKeepers))
       return it(kTakesBack).kept.outcome == Outcome::on_trial &&
-             (it(kTakesBack).cut >= 3 || conductor_->over());
+             (it(kTakesBack).cut >= 3 || controller_->is_over());
     if (choice == kKilled || choice == kElsewhere || choice == kPaused)
-      return left_.may(left_.successions) && !conductor_->over();
+      return left_.may(left_.successions) && !controller_->is_over();
     if (choice == kFormer) return former_ != nullptr && left_.turns_of_the_former > 0;
     if (choice == kWorse) return left_.may(left_.worse) && !worse_;
-    if (choice == kByHand) return left_.may(left_.by_hand) && !conductor_->over();
+    if (choice == kByHand) return left_.may(left_.by_hand) && !controller_->is_over();
     return false;
   }
 
@@ -182,7 +182,7 @@
              std::to_string(one.order.epoch) + ", " + std::to_string(one.order.number) + ") to k" +
              std::to_string(one.to);
     };
-    if (choice == kTime) return "3 s pass; " + std::string(rollout::name_of(conductor_->state()));
+    if (choice == kTime) return "3 s pass; " + std::string(rollout::name_of(controller_->state()));
     if (in(kArrives, kMostOrders)) return "arrives: " + order(kArrives);
     if (in(kLost, kMostOrders)) return "is lost: " + order(kLost);
     if (in(kRepeated, kMostOrders)) return "arrives, and will once more: " + order(kRepeated);
@@ -214,7 +214,7 @@
         one.busy = at_it ? one.busy + 1 : 0;
         one.cut = one.reachable ? 0 : std::min(one.cut + 1, 3);
       }
-      turn(*conductor_, true);
+      turn(*controller_, true);
     } else if (in(kArrives, kMostOrders)) {
       const OnItsWay one = orders_[number(kArrives)];
       orders_.erase(orders_.begin() + (choice - kArrives));
@@ -243,21 +243,21 @@
       left_.take(left_.late_reports);
       late_ = {choice - kSaid, report_of(it(kSaid))};
     } else if (choice == kHeardLate) {
-      own_conductor().report(members()[static_cast<std::size_t>(late_->first)].name, late_->second);
+      own_controller().on_report(members()[static_cast<std::size_t>(late_->first)].name, late_->second);
       late_.reset();
-      carry_out(*conductor_);
+      carry_out(*controller_);
     } else if (in(kTakesBack, kKeepers)) {
       goes_back(it(kTakesBack));
       took_back_ = true;
     } else if (choice == kKilled || choice == kElsewhere || choice == kPaused) {
       left_.take(left_.successions);
-      former_ = choice == kPaused ? conductor_ : nullptr;
+      former_ = choice == kPaused ? controller_ : nullptr;
       take_over(choice != kElsewhere);
     } else if (choice == kFormer) {
       left_.turns_of_the_former -= 1;
-      Conductor own(*former_);
+      Controller own(*former_);
       turn(own, false);
-      former_ = std::make_shared<Conductor>(own);
+      former_ = std::make_shared<Controller>(own);
     } else if (choice == kWorse) {
       left_.take(left_.worse);
       worse_ = true;
@@ -266,16 +266,16 @@
       orders_[number(kHeld)].held = true;
     } else {
       left_.take(left_.by_hand);
-      own_conductor().back("by hand");
-      carry_out(*conductor_);
+      own_controller().roll_back("by hand");
+      carry_out(*controller_);
     }
   }
 
   std::string line() const override {
     std::string out = left_.line() + (worse_ ? "w" : "") + (took_back_ ? "t" : "") + broken_ + '|' +
-                      conductor_->line(kHorizon) + '|' +
-                      (former_ && left_.turns_of_the_former > 0 ? former_->line(kHorizon) : "") + '|' +
-                      put(disk_).dump();
+                      controller_->fingerprint(kHorizon) + '|' +
+                      (former_ && left_.turns_of_the_former > 0 ? former_->fingerprint(kHorizon) : "") + '|' +
+                      to_json(disk_).dump();
     for (const Keeper& one : keepers_)
       out += "|" + keeper::put(one.kept) + (one.reachable ? "r" : "c") + std::to_string(one.uses) + "," +
              std::to_string(one.highest) + "," + std::to_string(one.busy) + std::to_string(one.cut);
@@ -283,21 +283,21 @@
       out += "|" + std::to_string(one.to) + keeper::put(one.order).dump() + std::to_string(one.age) +
              (one.held ? "h" : "");
     if (late_)
-      out += "|late " + std::to_string(late_->first) + late_->second.in_force + late_->second.former +
-             late_->second.outcome + std::to_string(late_->second.epoch) +
-             std::to_string(late_->second.number);
+      out += "|late " + std::to_string(late_->first) + late_->second.active_version +
+             late_->second.previous_version + late_->second.outcome +
+             std::to_string(late_->second.order_epoch) + std::to_string(late_->second.order_number);
     return out;
   }
 
   std::string broken() const override { return broken_; }
 
   // At rest for good: what is said to have come about has.
-  bool may_end() const override { return conductor_->over(); }
+  bool may_end() const override { return controller_->is_over(); }
 
  private:
-  Conductor& own_conductor() {
-    conductor_ = std::make_shared<Conductor>(*conductor_);
-    return *conductor_;
+  Controller& own_controller() {
+    controller_ = std::make_shared<Controller>(*controller_);
+    return *controller_;
   }
 
   void take_over(bool with_kept) {
@@ -307,65 +307,66 @@
       if (one.reachable && one.kept.order) epoch = std::max(epoch, one.kept.order->epoch);
     }
     if (plant_ != "a successor takes no new epoch" || epoch == 0) epoch += 1;
-    rollout::Kept from = with_kept ? disk_ : rollout::Kept{};
+    rollout::SavedState from = with_kept ? disk_ : rollout::SavedState{};
     if (plant_ == "a successor forgets what was ordered") {
-      for (auto& [name, at] : from.keepers) at = at == rollout::At::ordered ? rollout::At::old : at;
+      for (auto& [name, at] : from.keepers)
+        at = at == rollout::KeeperState::ordered ? rollout::KeeperState::old : at;
     }
-    conductor_ = std::make_shared<Conductor>(plan(), members(), from, epoch, now_, kWall);
-    conductor_->start();
-    carry_out(*conductor_);
+    controller_ = std::make_shared<Controller>(plan(), members(), from, epoch, now_, kWall);
+    controller_->start();
+    carry_out(*controller_);
   }
 
-  rollout::Report report_of(const Keeper& one) const {
-    rollout::Report out;
-    out.in_force = one.kept.in_force;
-    if (plant_ != "keepers do not say what they had before") out.former = one.kept.former;
+  rollout::KeeperReport report_of(const Keeper& one) const {
+    rollout::KeeperReport out;
+    out.active_version = one.kept.in_force;
+    if (plant_ != "keepers do not say what they had before") out.previous_version = one.kept.former;
     out.outcome = keeper::name_of(one.kept.outcome);
-    out.epoch = one.kept.order ? one.kept.order->epoch : 0;
-    out.number = one.kept.order ? one.kept.order->number : 0;
+    out.order_epoch = one.kept.order ? one.kept.order->epoch : 0;
+    out.order_number = one.kept.order ? one.kept.order->number : 0;
     out.has_version = true;
     // The former process serves until the new one does.
-    out.serves = true;
+    out.is_serving = true;
     if (plant_ == "a keeper says done before it is" && one.kept.outcome == Outcome::under_way)
       out.outcome = "on_trial";
     return out;
   }
 
-  void turn(Conductor& conductor, bool heard) {
-    Conductor* own = &conductor;
-    if (heard) own = &own_conductor();
+  void turn(Controller& controller, bool heard) {
+    Controller* own = &controller;
+    if (heard) own = &own_controller();
     for (int k = 0; heard && k < count(); ++k) {
       const Keeper& one = keepers_[static_cast<std::size_t>(k)];
-      if (one.reachable) own->report(members()[static_cast<std::size_t>(k)].name, report_of(one));
+      if (one.reachable) own->on_report(members()[static_cast<std::size_t>(k)].name, report_of(one));
     }
-    own->tick(now_, kWall);
+    own->on_tick(now_, kWall);
     rollout::Finding finding;
-    finding.verdict = worse_             ? rollout::Verdict::worse
-                      : own->soak_over() ? rollout::Verdict::passed
-                                         : rollout::Verdict::going;
-    if (own->kept().stage >= 0) own->judged(finding);
+    finding.verdict = worse_                ? rollout::Verdict::worse
+                      : own->is_soak_over() ? rollout::Verdict::passed
+                                            : rollout::Verdict::undecided;
+    if (own->saved().stage >= 0) own->on_finding(finding);
     carry_out(*own);
   }
 
-  void carry_out(Conductor& conductor) {
-    const bool leads = &conductor == conductor_.get();
-    std::vector<rollout::Act> acts;
-    while (const auto act = conductor.next()) acts.push_back(*act);
+  void carry_out(Controller& controller) {
+    const bool leads = &controller == controller_.get();
+    std::vector<rollout::Action> actions;
+    while (const auto action = controller.next_action()) actions.push_back(*action);
     if (plant_ == "orders go out before they are written down" && leads) {
       // Killed in between: what was ordered is on its way and nowhere else.
-      for (const rollout::Act& act : acts) order(conductor, act);
-      if (std::any_of(acts.begin(), acts.end(),
-                      [](const auto& act) { return act.what == rollout::Act::What::use; }))
+      for (const rollout::Action& action : actions) order(controller, action);
+      if (std::any_of(actions.begin(), actions.end(),
+                      [](const auto& action) { return action.kind == rollout::Action::Kind::use; }))
         return;
     }
-    for (const rollout::Act& act : acts) {
-      if (act.what == rollout::Act::What::keep && leads) disk_ = conductor.kept();
-      if (plant_ != "orders go out before they are written down" || !leads) order(conductor, act);
+    for (const rollout::Action& action : actions) {
+      if (action.kind == rollout::Action::Kind::save_state && leads) disk_ = controller.saved();
+      if (plant_ != "orders go out before they are written down" || !leads) order(controller, action);
     }
-    if (leads) disk_ = conductor.kept();
-    if (conductor.impossible() > 0) broken_ = "an event came that cannot come";
+    if (leads) disk_ = controller.saved();
+    if (controller.impossible_events() > 0) broken_ = "an event came that cannot come";
     if (!leads || former_ != nullptr) return;
-    const State state = conductor.state();
+    const State state = controller.state();
     for (const Keeper& one : keepers_) {
       if (&one - keepers_.data() >= count()) break;
       if (state == State::done && (one.kept.in_force != kNew || one.kept.outcome != Outcome::done) &&
@@ -376,25 +377,25 @@
     }
   }
 
-  void order(const Conductor& conductor, const rollout::Act& act) {
-    using What = rollout::Act::What;
-    if (act.what != What::use && act.what != What::confirm && act.what != What::back) return;
+  void order(const Controller& controller, const rollout::Action& action) {
+    using Kind = rollout::Action::Kind;
+    if (action.kind != Kind::use && action.kind != Kind::confirm && action.kind != Kind::roll_back) return;
     // The second stage only on what the first one shows.
     const std::string first = rollout::stages_of(plan(), members()).front().front();
-    const rollout::At shown = conductor.kept().keepers.at(first);
-    if (act.what == What::use && act.keeper != first && shown != rollout::At::on_trial &&
-        shown != rollout::At::confirmed)
+    const rollout::KeeperState shown = controller.saved().keepers.at(first);
+    if (action.kind == Kind::use && action.keeper != first && shown != rollout::KeeperState::on_trial &&
+        shown != rollout::KeeperState::confirmed)
       broken_ = "the second stage begins without the first";
     OnItsWay out;
-    out.to = act.keeper[1] - '0';
-    out.order.epoch = conductor.kept().epoch;
-    out.order.number = act.number;
-    out.order.kind = act.what == What::confirm ? keeper::Kind::confirm : keeper::Kind::use;
-    if (act.what != What::confirm) out.order.version = act.version;
-    if (act.what == What::use) {
+    out.to = action.keeper[1] - '0';
+    out.order.epoch = controller.saved().epoch;
+    out.order.number = action.number;
+    out.order.kind = action.kind == Kind::confirm ? keeper::Kind::confirm : keeper::Kind::use;
+    if (action.kind != Kind::confirm) out.order.version = action.version;
+    if (action.kind == Kind::use) {
       out.order.trial = 60s;
       if (plant_ != "what is in force is not asked")
-        out.order.if_in_force = conductor.kept().former.at(act.keeper);
+        out.order.if_in_force = controller.saved().previous_versions.at(action.keeper);
     }
     if (orders_.size() < static_cast<std::size_t>(kMostOrders)) orders_.push_back(std::move(out));
   }
@@ -433,19 +434,19 @@
     int under_way = 0;
     for (const Keeper& each : keepers_)
       under_way += each.kept.in_force == kNew && each.kept.outcome == Outcome::under_way ? 1 : 0;
-    if (under_way > plan().at_a_time && conductor_->state() != State::returning)
+    if (under_way > plan().max_concurrent && controller_->state() != State::returning)
       broken_ = "more keepers are being changed than the plan says";
   }
 
   std::string plant_, broken_;
   Span now_{};
   Left left_;
-  std::shared_ptr<Conductor> conductor_,
+  std::shared_ptr<Controller> controller_,
       former_;  // shared between copies; whoever changes one makes it its own
-  rollout::Kept disk_;
+  rollout::SavedState disk_;
   std::array<Keeper, kKeepers> keepers_;
   std::vector<OnItsWay> orders_;
-  std::optional<std::pair<int, rollout::Report>> late_;
+  std::optional<std::pair<int, rollout::KeeperReport>> late_;
   bool worse_ = false, took_back_ = false;
 };
 
--- a/src/fleet/agreement.cpp
+++ b/src/fleet/agreement.cpp
@@ -25,17 +25,17 @@
   return out;
 }
 
-std::string text_of_failure(const Answer& answer) {
-  if (answer.status == 0) return answer.why;
-  const json error = answer.body.is_object() ? answer.body.value("error", json()) : json();
-  return error.is_string() ? error.get<std::string>() : "status " + std::to_string(answer.status);
+std::string text_of_failure(const HttpResponse& response) {
+  if (response.status == 0) return response.error;
+  const json error = response.body.is_object() ? response.body.value("error", json()) : json();
+  return error.is_string() ? error.get<std::string>() : "status " + std::to_string(response.status);
 }
 
 }  // namespace
 
 Agreement::Agreement(net::Loop& loop, const Fleet& fleet,
                      std::optional<distribution::Proposer::Change> change)
-    : loop_(loop), fleet_(fleet), change_(std::move(change)), talk_(loop) {
+    : loop_(loop), fleet_(fleet), change_(std::move(change)), client_(loop) {
   for (const ControlNodeAt& node : fleet.control_nodes) {
     if (node.voter) voters_.push_back(&node);
   }
@@ -45,18 +45,19 @@
 std::optional<Revision> Agreement::newest_known() {
   std::optional<Revision> out;
   for (const ControlNodeAt& node : fleet_.control_nodes) {
-    talk_.call(node.address, "GET", "/v1/configuration/state", "", kNodeCall, [&](const Answer& answer) {
-      if (answer.status != 200 || !answer.body.is_object()) return;
-      try {
-        const json chosen = answer.body.value("chosen", json());
-        if (chosen.is_null()) return;
-        Revision read = distribution::read_revision(chosen);
-        if (distribution::fault_of(read, fleet_.name)) return;
-        if (!out || read.index > out->index) out = std::move(read);
-      } catch (const config::BadInput&) {
-        // A node that tells nonsense is heard by none.
-      }
-    });
+    client_.call(node.address, "GET", "/v1/configuration/state", "", kNodeCall,
+                 [&](const HttpResponse& response) {
+                   if (response.status != 200 || !response.body.is_object()) return;
+                   try {
+                     const json chosen = response.body.value("chosen", json());
+                     if (chosen.is_null()) return;
+                     Revision read = distribution::read_revision(chosen);
+                     if (distribution::fault_of(read, fleet_.name)) return;
+                     if (!out || read.index > out->index) out = std::move(read);
+                   } catch (const config::BadInput&) {
+                     // A node that tells nonsense is heard by none.
+                   }
+                 });
   }
   run_calls();
   return out;
@@ -64,7 +65,7 @@
 
 // Until every call is answered or given up.
 void Agreement::run_calls() {
-  while (talk_.out() > 0) loop_.gather();
+  while (client_.pending_calls() > 0) loop_.gather();
   loop_.at(loop_.now(), [] {});
   loop_.gather();  // the last is told in a turn of its own
 }
@@ -113,17 +114,17 @@
   sent_out_ = sent_out_ || accepts;
   const std::string body =
       std::visit([](const auto& one) { return distribution::put(one).dump(); }, message.what);
-  talk_.call(voters_[voter]->address, "POST",
-             accepts ? "/v1/configuration/accept" : "/v1/configuration/prepare", body, kNodeCall,
-             [this, voter, number](const Answer& answer) { answered(voter, number, answer); });
+  client_.call(voters_[voter]->address, "POST",
+               accepts ? "/v1/configuration/accept" : "/v1/configuration/prepare", body, kNodeCall,
+               [this, voter, number](const HttpResponse& response) { answered(voter, number, response); });
 }
 
-void Agreement::answered(std::size_t voter, std::uint64_t number, const Answer& answer) {
-  if (answer.status != 200) {
-    fail(voter, number, text_of_failure(answer));
+void Agreement::answered(std::size_t voter, std::uint64_t number, const HttpResponse& response) {
+  if (response.status != 200) {
+    fail(voter, number, text_of_failure(response));
   } else {
     try {
-      proposer_->replied(voter, distribution::read_reply(answer.body));
+      proposer_->replied(voter, distribution::read_reply(response.body));
     } catch (const config::BadInput& wrong) {
       fail(voter, number, wrong.what());
     }
@@ -141,8 +142,8 @@
   std::size_t took = 0;
   const std::string body = distribution::put(revision).dump();
   for (const ControlNodeAt& node : fleet_.control_nodes) {
-    talk_.call(node.address, "POST", "/v1/configuration/learn", body, kNodeCall,
-               [&took](const Answer& answer) { took += answer.status == 200 ? 1 : 0; });
+    client_.call(node.address, "POST", "/v1/configuration/learn", body, kNodeCall,
+                 [&took](const HttpResponse& response) { took += response.status == 200 ? 1 : 0; });
   }
   run_calls();
   return took;
--- a/src/fleet/configuration.h
+++ b/src/fleet/configuration.h
@@ -44,7 +44,7 @@
 
  private:
   void send(const distribution::Message& message);
-  void answered(std::size_t voter, std::uint64_t number, const Answer& answer);
+  void answered(std::size_t voter, std::uint64_t number, const HttpResponse& response);
   void carry_out();
   void fail(std::size_t voter, std::uint64_t number, const std::string& why);
   void run_calls();
@@ -55,7 +55,7 @@
   std::optional<distribution::Proposer::Change> change_;
   std::optional<distribution::Proposer> proposer_;
   std::vector<std::uint64_t> newest_call_;  // to each voter; an earlier one's failure counts no more
-  Talk talk_;
+  HttpClient client_;
   bool resting_ = false, sent_out_ = false;  // something may have been accepted
   std::string why_;
 };
--- a/src/fleet/main.cpp
+++ b/src/fleet/main.cpp
@@ -36,19 +36,21 @@
 
 // Asks each keeper once.
 void ask_all(net::Loop& loop, const Fleet& fleet, fleet::View& view) {
-  fleet::Talk talk(loop);
+  fleet::HttpClient client(loop);
   loop.read_clock();
   for (const fleet::KeeperAt& keeper : fleet.keepers) {
-    talk.call(keeper.control, "GET", "/status", "", kLimit, [&view, &keeper](const fleet::Answer& answer) {
-      if (answer.status == 200 && answer.body.is_object()) {
-        view.answered(keeper.name, answer.body, now_ms());
-      } else {
-        view.silent(keeper.name, answer.status != 0 ? "status " + std::to_string(answer.status) : answer.why,
-                    now_ms());
-      }
-    });
+    client.call(
+        keeper.control, "GET", "/status", "", kLimit, [&view, &keeper](const fleet::HttpResponse& response) {
+          if (response.status == 200 && response.body.is_object()) {
+            view.answered(keeper.name, response.body, now_ms());
+          } else {
+            view.silent(keeper.name,
+                        response.status != 0 ? "status " + std::to_string(response.status) : response.error,
+                        now_ms());
+          }
+        });
   }
-  while (talk.out() > 0) loop.gather();
+  while (client.pending_calls() > 0) loop.gather();
   loop.at(loop.now(), [] {});
   loop.gather();  // the last is told in a turn of its own
 }
@@ -146,16 +148,16 @@
   }
   net::Loop loop;
   loop.read_clock();
-  fleet::Talk talk(loop);
+  fleet::HttpClient client(loop);
   const auto ask = [&](const char* method, const char* target, const std::string& body) {
-    std::optional<fleet::Answer> out;
-    talk.call(keeper->control, method, target, body, kLimit,
-              [&out](const fleet::Answer& answer) { out = answer; });
+    std::optional<fleet::HttpResponse> out;
+    client.call(keeper->control, method, target, body, kLimit,
+                [&out](const fleet::HttpResponse& response) { out = response; });
     while (!out) loop.gather();
     return *out;
   };
   if (!order.contains("number")) {
-    const fleet::Answer present = ask("GET", "/status", "");
+    const fleet::HttpResponse present = ask("GET", "/status", "");
     if (present.status != 200) {
       std::cerr << "marbledyke-fleet: " << name << ": " << present.why << '\n';
       return 2;
@@ -165,16 +167,16 @@
     if (!order.contains("epoch")) order["epoch"] = epoch;
     order["number"] = order["epoch"] == epoch ? last.value("number", std::uint64_t{0}) + 1 : 1;
   }
-  const fleet::Answer answer = ask("POST", "/order", order.dump());
-  if (answer.status == 0 || !answer.body.is_object()) {
-    std::cerr << "marbledyke-fleet: " << name << ": " << answer.why
+  const fleet::HttpResponse response = ask("POST", "/order", order.dump());
+  if (response.status == 0 || !response.body.is_object()) {
+    std::cerr << "marbledyke-fleet: " << name << ": " << response.error
               << "; it may have been taken: repeat it with --epoch " << order["epoch"] << " --number "
               << order["number"] << '\n';
     return 2;
   }
-  std::cout << answer.body.value("verdict", answer.body.value("error", "")) << ", "
-            << answer.body.value("outcome", "") << '\n';
-  return answer.status < 300 ? 0 : 1;
+  std::cout << response.body.value("verdict", response.body.value("error", "")) << ", "
+            << response.body.value("outcome", "") << '\n';
+  return response.status < 300 ? 0 : 1;
 }
 
 // The fleet's settings: words and what they stand for.
@@ -298,7 +300,7 @@
   }
   if (*settings.group) return run_configuration(*fleet, settings);
   if (*plan_command || *start_command) {
-    const rollout::Read plan = rollout::read_plan_file(plan_file);
+    const rollout::PlanResult plan = rollout::read_plan_file(plan_file);
     for (const config::Fault& fault : plan.faults) std::cerr << config::text_of(plan_file, fault) << '\n';
     if (!plan.plan) return 1;
     return *plan_command ? fleet::rollout_plan(*fleet, *plan.plan)
--- a/src/fleet/rollout.h
+++ b/src/fleet/rollout.h
@@ -25,8 +25,8 @@
   Rollout(const Rollout&) = delete;
   Rollout& operator=(const Rollout&) = delete;
 
-  bool over() const { return conductor_ != nullptr && conductor_->over() && orders_out_ == 0; }
-  const rollout::Conductor* conductor() const { return conductor_.get(); }
+  bool over() const { return controller_ != nullptr && controller_->is_over() && orders_out_ == 0; }
+  const rollout::Controller* controller() const { return controller_.get(); }
 
  private:
   struct Seen {
@@ -43,7 +43,7 @@
   void begin_when_known();
   void judge();
   void carry_out();
-  void order(const rollout::Act& act, nlohmann::json what);
+  void order(const rollout::Action& action, nlohmann::json what);
   void heed();
   void write_state();
   void remember(const std::string& what);
@@ -55,11 +55,11 @@
   std::string folder_;
   net::Descriptor lock_;
   std::vector<rollout::Member> members_;
-  rollout::Kept kept_;
+  rollout::SavedState saved_;
   bool found_ = false;  // a rollout that a former conductor had under way
-  std::unique_ptr<rollout::Conductor> conductor_;
-  rollout::Evidence evidence_;
-  Talk talk_;
+  std::unique_ptr<rollout::Controller> controller_;
+  rollout::WindowAggregator aggregator_;
+  HttpClient client_;
   std::map<std::string, Seen> seen_;
   Span begun_{};
   std::int64_t watched_from_ = 0, watched_until_ = 0, swapping_since_ = 0;
--- a/src/fleet/spread.cpp
+++ b/src/fleet/spread.cpp
@@ -31,8 +31,8 @@
 }
 
 // A receiver that has moved is listed by its former node too.
-void merge(std::map<std::string, ReceiverSeen>& into, const json& answer) {
-  for (const json& each : config::array(answer, "receivers")) {
+void merge(std::map<std::string, ReceiverSeen>& into, const json& response) {
+  for (const json& each : config::array(response, "receivers")) {
     ReceiverSeen seen = read_receiver(each);
     const auto at = into.find(seen.name);
     if (at == into.end()) {
@@ -47,8 +47,8 @@
   }
 }
 
-void take_newest(Spread& into, const std::string& fleet, NodeSeen& node, const json& answer) {
-  const json chosen = answer.value("chosen", json());
+void take_newest(Spread& into, const std::string& fleet, NodeSeen& node, const json& response) {
+  const json chosen = response.value("chosen", json());
   if (chosen.is_null()) return;
   Revision read = distribution::read_revision(chosen);
   if (const auto fault = distribution::fault_of(read, fleet)) throw config::BadInput(*fault);
@@ -88,26 +88,27 @@
   Spread out;
   std::map<std::string, ReceiverSeen> receivers;
   for (const ControlNodeAt& node : fleet.control_nodes) out.nodes.push_back({node.name, "", 0});
-  Talk talk(loop);
+  HttpClient client(loop);
   loop.read_clock();
   for (std::size_t i = 0; i < fleet.control_nodes.size(); ++i) {
     const auto ask = [&](const char* target, const std::function<void(const json&)>& read) {
-      talk.call(fleet.control_nodes[i].address, "GET", target, "", kNodeCall,
-                [&, i, read](const Answer& answer) {
-                  NodeSeen& node = out.nodes[i];
-                  try {
-                    if (answer.status == 200 && answer.body.is_object()) return read(answer.body);
-                    node.why = answer.status == 0 ? answer.why : "status " + std::to_string(answer.status);
-                  } catch (const config::BadInput& wrong) {
-                    node.why = wrong.what();
-                  }
-                });
+      client.call(fleet.control_nodes[i].address, "GET", target, "", kNodeCall,
+                  [&, i, read](const HttpResponse& response) {
+                    NodeSeen& node = out.nodes[i];
+                    try {
+                      if (response.status == 200 && response.body.is_object()) return read(response.body);
+                      node.why =
+                          response.status == 0 ? response.error : "status " + std::to_string(response.status);
+                    } catch (const config::BadInput& wrong) {
+                      node.why = wrong.what();
+                    }
+                  });
     };
     ask("/v1/configuration/state",
-        [&, i](const json& answer) { take_newest(out, fleet.name, out.nodes[i], answer); });
-    ask("/v1/configuration/receivers", [&](const json& answer) { merge(receivers, answer); });
+        [&, i](const json& response) { take_newest(out, fleet.name, out.nodes[i], response); });
+    ask("/v1/configuration/receivers", [&](const json& response) { merge(receivers, response); });
   }
-  while (talk.out() > 0) loop.gather();
+  while (client.pending_calls() > 0) loop.gather();
   loop.at(loop.now(), [] {});
   loop.gather();  // the last is told in a turn of its own
   for (auto& [name, seen] : receivers) out.receivers.push_back(std::move(seen));
--- a/src/fleet/talk.cpp
+++ b/src/fleet/talk.cpp
@@ -6,47 +6,48 @@
 
 namespace marbledyke::fleet {
 namespace {
-constexpr std::size_t kMostAnswer = 16 * 1024 * 1024;
+constexpr std::size_t kMaxResponseBytes = 16 * 1024 * 1024;
 }
 
-struct Talk::Call {
+struct HttpClient::Call {
   std::uint64_t number = 0;
-  Told told;
+  Callback on_response;
   std::unique_ptr<net::Stream> stream;
-  net::HttpReader reader{net::HttpReader::Kind::answer, kMostAnswer};
+  net::HttpReader reader{net::HttpReader::Kind::answer, kMaxResponseBytes};
   net::Loop::Timer limit{};
   bool over = false;
 };
 
-Talk::Talk(net::Loop& loop) : loop_(loop) {}
+HttpClient::HttpClient(net::Loop& loop) : loop_(loop) {}
 
-Talk::~Talk() {
+HttpClient::~HttpClient() {
   for (const auto& [number, call] : calls_) loop_.cancel(call->limit);
 }
 
-void Talk::call(const net::Address& to, const std::string& method, const std::string& target,
-                const std::string& body, Span limit, Told told) {
-  Waiting what{to,
-               method + " " + target + " HTTP/1.1\r\nHost: keeper\r\nConnection: close\r\nContent-Length: " +
-                   std::to_string(body.size()) + "\r\n\r\n" + body,
-               limit, std::move(told)};
-  if (calls_.size() < kAtOnce) return begin(std::move(what));
-  waiting_.push_back(std::move(what));
+void HttpClient::call(const net::Address& to, const std::string& method, const std::string& target,
+                      const std::string& body, Span limit, Callback on_response) {
+  QueuedCall what{to,
+                  method + " " + target +
+                      " HTTP/1.1\r\nHost: keeper\r\nConnection: close\r\nContent-Length: " +
+                      std::to_string(body.size()) + "\r\n\r\n" + body,
+                  limit, std::move(on_response)};
+  if (calls_.size() < kMaxConcurrentCalls) return start_call(std::move(what));
+  queue_.push_back(std::move(what));
 }
 
-void Talk::begin(Waiting what) {
+void HttpClient::start_call(QueuedCall what) {
   auto made = std::make_unique<Call>();
   Call* const call = made.get();
-  const std::uint64_t number = call->number = next_++;
-  call->told = std::move(what.told);
+  const std::uint64_t number = call->number = next_number_++;
+  call->on_response = std::move(what.on_response);
   calls_.emplace(number, std::move(made));
   call->limit = loop_.at(loop_.now() + what.limit, [this, number] {
-    finish(number, {0, nullptr, "no answer in time"});
+    finish_call(number, {0, nullptr, "no answer in time"});
   });
   net::Descriptor fd = net::start_connect(what.to);
   if (!fd) {
-    const std::string why = std::strerror(errno);
-    loop_.at(loop_.now(), [this, number, why] { finish(number, {0, nullptr, why}); });
+    const std::string error = std::strerror(errno);
+    loop_.at(loop_.now(), [this, number, error] { finish_call(number, {0, nullptr, error}); });
     return;
   }
   call->stream = std::make_unique<net::Stream>(
@@ -60,38 +61,39 @@
                           while (!in.empty() && call->reader.state() == net::HttpReader::State::reading)
                             in.drop(call->reader.take(in.front()));
                           if (call->reader.state() == net::HttpReader::State::reading) return;
-                          Answer answer;
+                          HttpResponse response;
                           if (call->reader.state() == net::HttpReader::State::done) {
-                            answer.status = std::atoi(call->reader.message().second.c_str());
-                            answer.body = nlohmann::json::parse(call->reader.message().body, nullptr, false);
+                            response.status = std::atoi(call->reader.message().second.c_str());
+                            response.body =
+                                nlohmann::json::parse(call->reader.message().body, nullptr, false);
                           } else {
-                            answer.why = "what came cannot be read";
+                            response.error = "what came cannot be read";
                           }
-                          finish(call->number, std::move(answer));
+                          finish_call(call->number, std::move(response));
                         },
                         nullptr,
                         [this, number](bool was) {
-                          finish(number, {0, nullptr, was ? "the connection ended" : "cannot connect"});
+                          finish_call(number, {0, nullptr, was ? "the connection ended" : "cannot connect"});
                         }});
 }
 
-void Talk::finish(std::uint64_t number, Answer answer) {
+void HttpClient::finish_call(std::uint64_t number, HttpResponse response) {
   const auto at = calls_.find(number);
   if (at == calls_.end()) return;
   std::unique_ptr<Call> call = std::move(at->second);
   calls_.erase(at);
   loop_.cancel(call->limit);
   if (call->stream) call->stream->close();
-  const Told told = std::move(call->told);
-  graves_.push_back(std::move(call));
+  const Callback on_response = std::move(call->on_response);
+  finished_.push_back(std::move(call));
   // Who is told may call anew, and what has just ended is not destroyed while it tells.
-  loop_.at(loop_.now(), [this, told, answer = std::move(answer)] {
-    graves_.clear();
-    told(answer);
-    if (waiting_.empty() || calls_.size() >= kAtOnce) return;
-    Waiting next = std::move(waiting_.front());
-    waiting_.pop_front();
-    begin(std::move(next));
+  loop_.at(loop_.now(), [this, on_response, response = std::move(response)] {
+    finished_.clear();
+    on_response(response);
+    if (queue_.empty() || calls_.size() >= kMaxConcurrentCalls) return;
+    QueuedCall next = std::move(queue_.front());
+    queue_.pop_front();
+    start_call(std::move(next));
   });
 }
 
--- a/src/fleet/talk.h
+++ b/src/fleet/talk.h
@@ -17,43 +17,43 @@
 
 namespace marbledyke::fleet {
 
-struct Answer {
+struct HttpResponse {
   int status = 0;  // 0: none came
   nlohmann::json body;
-  std::string why;  // of none
+  std::string error;  // of none
 };
 
-class Talk {
+class HttpClient {
  public:
-  using Told = std::function<void(const Answer&)>;
-  static constexpr std::size_t kAtOnce = 128;
+  using Callback = std::function<void(const HttpResponse&)>;
+  static constexpr std::size_t kMaxConcurrentCalls = 128;
 
-  explicit Talk(net::Loop& loop);
-  ~Talk();
-  Talk(const Talk&) = delete;
-  Talk& operator=(const Talk&) = delete;
+  explicit HttpClient(net::Loop& loop);
+  ~HttpClient();
+  HttpClient(const HttpClient&) = delete;
+  HttpClient& operator=(const HttpClient&) = delete;
 
   // Told once, in a later turn. The limit counts from when the call begins.
   void call(const net::Address& to, const std::string& method, const std::string& target,
-            const std::string& body, Span limit, Told told);
-  std::size_t out() const { return calls_.size() + waiting_.size(); }
+            const std::string& body, Span limit, Callback on_response);
+  std::size_t pending_calls() const { return calls_.size() + queue_.size(); }
 
  private:
   struct Call;
-  struct Waiting {
+  struct QueuedCall {
     net::Address to;
     std::string bytes;
     Span limit;
-    Told told;
+    Callback on_response;
   };
-  void begin(Waiting what);
-  void finish(std::uint64_t number, Answer answer);
+  void start_call(QueuedCall what);
+  void finish_call(std::uint64_t number, HttpResponse response);
 
   net::Loop& loop_;
   std::map<std::uint64_t, std::unique_ptr<Call>> calls_;
-  std::vector<std::unique_ptr<Call>> graves_;
-  std::deque<Waiting> waiting_;
-  std::uint64_t next_ = 1;
+  std::vector<std::unique_ptr<Call>> finished_;
+  std::deque<QueuedCall> queue_;
+  std::uint64_t next_number_ = 1;
 };
 
 }  // namespace marbledyke::fleet
--- a/src/lab/scale/change_maker.cpp
+++ b/src/lab/scale/change_maker.cpp
@@ -32,10 +32,10 @@
   return std::string("/v1/configuration/") + (prepare ? "prepare" : "accept");
 }
 
-void give(Proposer& proposer, std::size_t voter, const fleet::Answer& answer) {
+void give(Proposer& proposer, std::size_t voter, const fleet::HttpResponse& response) {
   try {
-    if (answer.status != 200) return proposer.failed(voter);
-    proposer.replied(voter, distribution::read_reply(answer.body));
+    if (response.status != 200) return proposer.failed(voter);
+    proposer.replied(voter, distribution::read_reply(response.body));
   } catch (const config::BadInput&) {
     proposer.failed(voter);
   }
@@ -46,7 +46,7 @@
 ChangeMaker::ChangeMaker(net::Loop& loop, const ControlPlane& plane, std::uint32_t seed)
     : loop_(loop),
       plane_(plane),
-      talk_(loop),
+      client_(loop),
       chance_(seed),
       identity_("scale-" + std::to_string(getpid()) + "-" + std::to_string(seed)) {}
 
@@ -91,17 +91,17 @@
 void ChangeMaker::send(Proposer& proposer, const distribution::Message& message) {
   const std::uint64_t number = ++messages_;
   newest_message_[message.voter] = number;
-  talk_.call(plane_.address(message.voter, 0), "POST", path_of(message), body_of(message), kCallLimit,
-             [this, &proposer, voter = message.voter, number](const fleet::Answer& answer) {
-               if (newest_message_.empty() || newest_message_[voter] != number) return;
-               give(proposer, voter, answer);
-             });
+  client_.call(plane_.address(message.voter, 0), "POST", path_of(message), body_of(message), kCallLimit,
+               [this, &proposer, voter = message.voter, number](const fleet::HttpResponse& response) {
+                 if (newest_message_.empty() || newest_message_[voter] != number) return;
+                 give(proposer, voter, response);
+               });
 }
 
 void ChangeMaker::tell_all(const distribution::Revision& revision) {
   for (std::size_t node = 0; node < kNodes; ++node)
-    talk_.call(plane_.address(node, 0), "POST", "/v1/configuration/learn", put(revision).dump(), kCallLimit,
-               [](const fleet::Answer&) {});
+    client_.call(plane_.address(node, 0), "POST", "/v1/configuration/learn", put(revision).dump(), kCallLimit,
+                 [](const fleet::HttpResponse&) {});
 }
 
 }  // namespace marbledyke::lab::scale
--- a/src/lab/scale/change_maker.h
+++ b/src/lab/scale/change_maker.h
@@ -35,7 +35,7 @@
 
   net::Loop& loop_;
   const ControlPlane& plane_;
-  fleet::Talk talk_;
+  fleet::HttpClient client_;
   std::mt19937 chance_;
   std::string identity_;
   std::uint64_t made_ = 0;
--- a/src/rollout/conductor.h
+++ b/src/rollout/conductor.h
@@ -32,127 +32,135 @@
   held,        // the way back failed somewhere: a person has to look
   refused      // nothing was changed, since something was not ready
 };
-inline constexpr int kStates = 13;
-enum class Happens {
+inline constexpr int kStateCount = 13;
+enum class Event {
   start,
-  ready,  // every keeper is
-  not_ready,
-  watched,  // long enough before the change
-  swapped,  // all of the stage
+  keepers_ready,  // every keeper is
+  keepers_not_ready,
+  baseline_recorded,  // long enough before the change
+  stage_swapped,      // all of the stage
   swap_failed,
-  passed,
-  too_little,  // or a trouble of all
-  goes_on,     // the trouble is over
-  stop,        // the judge says so
-  waited_out,  // the longest wait is over
+  stage_passed,
+  inconclusive,      // or a trouble of all
+  conclusive_again,  // the trouble is over
+  stop,              // the judge says so
+  wait_expired,      // the longest wait is over
   pause,
   resume,
-  back,  // a person wants it back
-  all_back,
-  back_failed,
-  all_told  // every keeper has been told that it stays
+  roll_back,  // a person wants it back
+  rollback_complete,
+  rollback_failed,
+  all_confirmed  // every keeper has been told that it stays
 };
-inline constexpr int kHappens = 17;
+inline constexpr int kEventCount = 17;
 const char* name_of(State state);
-const char* name_of(Happens event);
+const char* name_of(Event event);
 std::optional<State> state_named(const std::string& name);
 
-enum class At { old, ordered, on_trial, confirmed, back_ordered, back, held };  // a keeper
-const char* name_of(At at);
+enum class KeeperState { old, ordered, on_trial, confirmed, back_ordered, back, held };  // a keeper
+const char* name_of(KeeperState state);
 
 // What a keeper says of itself.
-struct Report {
-  std::string in_force, former, outcome, why;  // former: what it goes back to
-  std::uint64_t epoch = 0, number = 0;         // of the last order it took
-  std::int64_t life = 0;                       // of the keeper's own process: when it began
+struct KeeperReport {
+  std::string active_version, previous_version, outcome, reason;  // former: what it goes back to
+  std::uint64_t order_epoch = 0, order_number = 0;                // of the last order it took
+  std::int64_t keeper_started_ms = 0;  // of the keeper's own process: when it began
   // What became of trying the version beside what serves; `why` says it.
-  enum class Tried { no, good, bad } tried = Tried::no;
-  bool has_version = false, serves = false, gave_up = false;
-  std::uint64_t ends = 0, broken_invariants = 0;
+  enum class Verification { none, passed, failed } verification = Verification::none;
+  bool has_version = false, is_serving = false, gave_up = false;
+  std::uint64_t process_exits = 0, broken_invariants = 0;
 };
 
-struct Act {
-  enum class What { keep, take, try_out, use, confirm, back, begin_judging, note } what = What::note;
-  std::string keeper, version, why;
+struct Action {
+  enum class Kind {
+    save_state,
+    take,
+    verify,
+    use,
+    confirm,
+    roll_back,
+    start_comparison,
+    log
+  } kind = Kind::log;
+  std::string keeper, version, reason;
   std::uint64_t number = 0;  // of an order, in this conductor's epoch
 };
 
 // What survives a conductor.
-struct Kept {
+struct SavedState {
   State state = State::planned;
   int stage = -1;
   std::uint64_t epoch = 0;
-  std::map<std::string, At> keepers;
-  std::map<std::string, std::string> former;  // what each goes back to
-  std::string why;
+  std::map<std::string, KeeperState> keepers;
+  std::map<std::string, std::string> previous_versions;  // what each goes back to
+  std::string reason;
   std::int64_t since_ms = 0;
   State paused_from = State::planned;
 };
-nlohmann::json put(const Kept& kept);
-Kept read_kept(const nlohmann::json& from);  // throws config::BadInput
+nlohmann::json to_json(const SavedState& saved);
+SavedState read_saved_state(const nlohmann::json& from);  // throws config::BadInput
 
-class Conductor {
+class Controller {
  public:
   // A successor is given what was kept, and an epoch above all that the keepers have seen.
-  Conductor(const Plan& plan, const std::vector<Member>& members, Kept kept, std::uint64_t epoch, Span now,
-            Span wall);
+  Controller(const Plan& plan, const std::vector<Member>& members, SavedState saved, std::uint64_t epoch,
+             Span now, Span wall);
 
-  void start() { on(Happens::start); }
-  void report(const std::string& keeper, const Report& report);
-  void unreachable(const std::string& keeper);
-  void judged(const Finding& finding);
-  void pause() { on(Happens::pause); }
-  void resume() { on(Happens::resume); }
-  void back(const std::string& why);
-  void tick(Span now, Span wall);
+  void start() { on_event(Event::start); }
+  void on_report(const std::string& keeper, const KeeperReport& report);
+  void on_unreachable(const std::string& keeper);
+  void on_finding(const Finding& finding);
+  void pause() { on_event(Event::pause); }
+  void resume() { on_event(Event::resume); }
+  void roll_back(const std::string& reason);
+  void on_tick(Span now, Span wall);
 
-  std::optional<Act> next();
+  std::optional<Action> next_action();
 
-  const Kept& kept() const { return kept_; }
-  State state() const { return kept_.state; }
-  bool over() const;
+  const SavedState& saved() const { return saved_; }
+  State state() const { return saved_.state; }
+  bool is_over() const;
   // Of the stage under way: the soak is over, as far as its time goes.
-  bool soak_over() const;
-  Span soaked() const { return now_ - soak_since_; }
+  bool is_soak_over() const;
+  Span soak_time() const { return now_ - soak_since_; }
   // Who has the new version, on trial or confirmed, and since when on this conductor's clock.
-  const std::map<std::string, Span>& changed() const { return changed_; }
+  const std::map<std::string, Span>& changed_keepers() const { return changed_at_; }
   const std::vector<std::vector<std::string>>& stages() const { return stages_; }
-  std::uint64_t impossible() const { return impossible_; }
-  const std::string& said() const { return said_; }  // of the wait, in words
+  std::uint64_t impossible_events() const { return impossible_events_; }
+  const std::string& last_finding() const { return last_finding_; }  // of the wait, in words
   // All that decides what it does from here on; times as ages of `horizon` at most. Two of one line go on
   // alike.
-  std::string line(Span horizon) const;
+  std::string fingerprint(Span horizon) const;
 
  private:
-  struct Cell;
-  void on(Happens event, const std::string& why = {});
-  void act(Act::What what, const std::string& keeper = {}, const std::string& why = {});
-  void order_some();  // of the stage, as many as may be at a time
-  void order_some_back();
+  void on_event(Event event, const std::string& reason = {});
+  void queue_action(Action::Kind kind, const std::string& keeper = {}, const std::string& reason = {});
+  void order_next_swaps();  // of the stage, as many as may be at a time
+  void order_next_rollbacks();
   void confirm_stage();
-  void confirm_again();
-  void adopt(const std::string& name, const Report& report);
-  void look_at_stage();
-  std::vector<std::string> of(At at) const;
+  void resend_confirmations();
+  void adopt_keeper(const std::string& name, const KeeperReport& report);
+  void check_swap_progress();
+  std::vector<std::string> keepers_in(KeeperState state) const;
 
   const Plan& plan_;
   std::vector<Member> members_;
   std::vector<std::vector<std::string>> stages_;
-  Kept kept_;
+  SavedState saved_;
   Span now_{}, wall_{};
-  Span since_{};  // in this state
+  Span state_since_{};  // in this state
   Span soak_since_{}, wait_since_{};
-  std::map<std::string, Span> ordered_, changed_, last_heard_, back_since_, again_;
-  std::map<std::string, Report> reports_;
+  std::map<std::string, Span> ordered_at_, changed_at_, last_report_at_, rollback_started_at_, resent_at_;
+  std::map<std::string, KeeperReport> reports_;
   std::map<std::string, std::uint64_t>
-      use_number_;  // of the last order to change that each was given in this epoch
-  std::map<std::string, std::uint64_t> back_number_;  // of the first order back
+      use_order_numbers_;  // of the last order to change that each was given in this epoch
+  std::map<std::string, std::uint64_t> rollback_order_numbers_;  // of the first order back
   // Of the last order that each keeper is known to have been given: by its report, or by this conductor
   // since.
-  std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> given_;
-  std::string said_;
-  std::uint64_t impossible_ = 0;
-  std::deque<Act> acts_;
+  std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> last_orders_;
+  std::string last_finding_;
+  std::uint64_t impossible_events_ = 0;
+  std::deque<Action> actions_;
 };
 
 }  // namespace marbledyke::rollout
--- a/src/rollout/evidence.cpp
+++ b/src/rollout/evidence.cpp
@@ -7,58 +7,60 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kKept = 900;       // seconds of a keeper
-constexpr std::int64_t kLateMs = 3'000;  // windows are waited for so long
-constexpr std::size_t kCpuKept = 1'000;
+constexpr std::size_t kMaxWindows = 900;       // seconds of a keeper
+constexpr std::int64_t kLateWindowMs = 3'000;  // windows are waited for so long
+constexpr std::size_t kMaxCpuSamples = 1'000;
 
 std::int64_t floor_to(std::int64_t ms, std::int64_t step) { return ms - ((ms % step) + step) % step; }
 
 }  // namespace
 
-Evidence::Evidence(const Plan& plan, const std::vector<Member>& members) : plan_(plan) {
+WindowAggregator::WindowAggregator(const Plan& plan, const std::vector<Member>& members) : plan_(plan) {
   for (const Member& member : members) keepers_[member.name].zone = member.zone;
 }
 
-void Evidence::heard(const std::string& keeper, const std::string& version, std::int64_t since_ms,
-                     std::int64_t ahead_ms, const totals::Window& window) {
+void WindowAggregator::on_window(const std::string& keeper, const std::string& version,
+                                 std::int64_t started_ms, std::int64_t clock_ahead_ms,
+                                 const totals::Window& window) {
   const auto at = keepers_.find(keeper);
   if (at == keepers_.end()) return;
   // Whole seconds: windows begin with one on every machine.
-  const std::int64_t ahead = floor_to(ahead_ms + 500, 1000);
+  const std::int64_t ahead = floor_to(clock_ahead_ms + 500, 1000);
   const std::int64_t start = window.start_ms - ahead;
-  Second& second = at->second.seconds[start];
-  second = {version, since_ms - ahead, window};
+  SecondWindow& second = at->second.seconds[start];
+  second = {version, started_ms - ahead, window};
   for (const auto& [op, count] : window.by_op_type) op_types_.insert(op);
-  while (at->second.seconds.size() > kKept) at->second.seconds.erase(at->second.seconds.begin());
+  while (at->second.seconds.size() > kMaxWindows) at->second.seconds.erase(at->second.seconds.begin());
 }
 
-std::int64_t Evidence::newest(const std::string& keeper) const {
+std::int64_t WindowAggregator::newest_window_ms(const std::string& keeper) const {
   const auto at = keepers_.find(keeper);
   return at == keepers_.end() || at->second.seconds.empty() ? 0 : at->second.seconds.rbegin()->first;
 }
 
-void Evidence::used(const std::string& keeper, std::int64_t since_ms, std::int64_t now_ms, double cpu_s,
-                    double rss) {
+void WindowAggregator::on_resource_usage(const std::string& keeper, std::int64_t started_ms,
+                                         std::int64_t now_ms, double cpu_s, double rss) {
   const auto at = keepers_.find(keeper);
   if (at == keepers_.end()) return;
-  Of& of = at->second;
-  if (since_ms != of.cpu_since) {  // another process counts from nothing
+  KeeperSeries& of = at->second;
+  if (started_ms != of.process_started_ms) {  // another process counts from nothing
     of.cpu.clear();
-    of.cpu_since = since_ms;
-    of.rss_first_at = 0;
+    of.process_started_ms = started_ms;
+    of.first_rss_ms = 0;
   }
   of.cpu[now_ms] = cpu_s;
-  while (of.cpu.size() > kCpuKept) of.cpu.erase(of.cpu.begin());
-  if (now_ms - since_ms < plan_.burn_in / 1ms) return;
-  if (of.rss_first_at == 0) {
-    of.rss_first_at = now_ms;
-    of.rss_first = rss;
+  while (of.cpu.size() > kMaxCpuSamples) of.cpu.erase(of.cpu.begin());
+  if (now_ms - started_ms < plan_.burn_in / 1ms) return;
+  if (of.first_rss_ms == 0) {
+    of.first_rss_ms = now_ms;
+    of.first_rss_bytes = rss;
   }
-  of.rss_last = rss;
-  of.rss_last_at = now_ms;
+  of.last_rss_bytes = rss;
+  of.last_rss_ms = now_ms;
 }
 
-double Evidence::cpu_in(const Of& of, std::int64_t from_ms, std::int64_t until_ms) const {
+double WindowAggregator::cpu_seconds_between(const KeeperSeries& of, std::int64_t from_ms,
+                                             std::int64_t until_ms) const {
   // Between the looks next before each end, scaled to the block's length.
   const auto after = of.cpu.lower_bound(until_ms);
   const auto before = of.cpu.lower_bound(from_ms);
@@ -69,26 +71,27 @@
          static_cast<double>(b->first - a->first);
 }
 
-Block Evidence::block_of(std::int64_t from_ms, const std::set<std::string>& changed, bool by_version) const {
+Block WindowAggregator::make_block(std::int64_t from_ms, const std::set<std::string>& changed,
+                                   bool match_version) const {
   Block out;
-  const std::int64_t until = from_ms + plan_.limits.block_s * 1000;
+  const std::int64_t until = from_ms + plan_.limits.block_seconds * 1000;
   for (const auto& [name, of] : keepers_) {
     std::map<std::string, Side> mine;
     std::uint64_t asked = 0;
     for (auto at = of.seconds.lower_bound(from_ms); at != of.seconds.end() && at->first < until; ++at) {
-      const Second& second = at->second;
-      if (at->first - second.since_ms < plan_.burn_in / 1ms) continue;
+      const SecondWindow& second = at->second;
+      if (at->first - second.started_ms < plan_.burn_in / 1ms) continue;
       // On a keeper that was changed, seconds of its former process belong to nobody, and the other way
       // round.
-      if (by_version && (second.version == plan_.version) != changed.contains(name)) continue;
+      if (match_version && (second.version == plan_.version) != changed.contains(name)) continue;
       for (const auto& [op, count] : second.window.by_op_type) {
-        mine[op].add(count, judge_ ? judge_->slow_from(op).value_or(0us) : 0us);
+        mine[op].add(count, judge_ ? judge_->slow_threshold(op).value_or(0us) : 0us);
         asked += count.taken;
       }
     }
-    const double cpu = cpu_in(of, from_ms, until);
+    const double cpu = cpu_seconds_between(of, from_ms, until);
     for (auto& [op, side] : mine) {
-      if (asked > 0) side.cpu = cpu * static_cast<double>(side.asked) / static_cast<double>(asked);
+      if (asked > 0) side.cpu_seconds = cpu * static_cast<double>(side.received) / static_cast<double>(asked);
       auto& [old_side, new_side] = out[{op, of.zone}];
       (changed.contains(name) ? new_side : old_side).merge(side);
     }
@@ -96,46 +99,48 @@
   return out;
 }
 
-void Evidence::begin(const std::set<std::string>& changed, std::int64_t from_ms, std::int64_t until_ms,
-                     std::int64_t now_ms) {
+void WindowAggregator::start_comparison(const std::set<std::string>& changed, std::int64_t from_ms,
+                                        std::int64_t until_ms, std::int64_t now_ms) {
   changed_ = changed;
   std::set<std::string> zones;
   for (const auto& [name, of] : keepers_) zones.insert(of.zone);
-  judge_ =
-      std::make_unique<Judge>(plan_.limits, comparisons(plan_, op_types(), static_cast<int>(zones.size())));
-  const std::int64_t step = plan_.limits.block_s * 1000;
+  judge_ = std::make_unique<Judge>(plan_.limits,
+                                   max_comparisons(plan_, op_type_count(), static_cast<int>(zones.size())));
+  const std::int64_t step = plan_.limits.block_seconds * 1000;
   const std::int64_t first = floor_to(from_ms + step - 1, step);
   for (const auto& [name, of] : keepers_) {
     for (auto at = of.seconds.lower_bound(first); at != of.seconds.end() && at->first < until_ms; ++at) {
-      for (const auto& [op, count] : at->second.window.by_op_type) judge_->learn_latencies(op, count.latency);
+      for (const auto& [op, count] : at->second.window.by_op_type)
+        judge_->add_baseline_latencies(op, count.latency);
     }
   }
   for (std::int64_t at = first; at + step <= until_ms; at += step)
-    judge_->before(block_of(at, changed_, false));
-  judge_->begin();
+    judge_->add_baseline_block(make_block(at, changed_, false));
+  judge_->start_comparison();
   next_block_ = floor_to(now_ms + plan_.burn_in / 1ms + step - 1, step);
 }
 
-void Evidence::advance(std::int64_t now_ms) {
+void WindowAggregator::advance(std::int64_t now_ms) {
   if (!judge_) return;
-  const std::int64_t step = plan_.limits.block_s * 1000;
-  for (; next_block_ + step + kLateMs <= now_ms; next_block_ += step)
-    judge_->after(block_of(next_block_, changed_, true));
-  look_at_memory();
+  const std::int64_t step = plan_.limits.block_seconds * 1000;
+  for (; next_block_ + step + kLateWindowMs <= now_ms; next_block_ += step)
+    judge_->add_comparison_block(make_block(next_block_, changed_, true));
+  compare_memory_growth();
 }
 
 // The middle one of each side: a single process may have its own reasons.
-void Evidence::look_at_memory() {
+void WindowAggregator::compare_memory_growth() {
   std::vector<double> old_ones, new_ones;
   double minutes = 1e9;
   for (const auto& [name, of] : keepers_) {
-    if (of.rss_first_at == 0 || of.rss_last_at - of.rss_first_at < 10'000) {
+    if (of.first_rss_ms == 0 || of.last_rss_ms - of.first_rss_ms < 10'000) {
       if (changed_.contains(name)) return;
       continue;
     }
-    const double span = static_cast<double>(of.rss_last_at - of.rss_first_at) / 60'000;
+    const double span = static_cast<double>(of.last_rss_ms - of.first_rss_ms) / 60'000;
     if (changed_.contains(name)) minutes = std::min(minutes, span);
-    (changed_.contains(name) ? new_ones : old_ones).push_back((of.rss_last - of.rss_first) / span);
+    (changed_.contains(name) ? new_ones : old_ones)
+        .push_back((of.last_rss_bytes - of.first_rss_bytes) / span);
   }
   if (new_ones.empty()) return;
   const auto middle = [](std::vector<double>& of) {
@@ -143,7 +148,7 @@
     std::nth_element(of.begin(), of.begin() + static_cast<std::ptrdiff_t>(of.size() / 2), of.end());
     return of[of.size() / 2];
   };
-  judge_->memory(middle(new_ones), middle(old_ones), minutes);
+  judge_->on_memory_growth(middle(new_ones), middle(old_ones), minutes);
 }
 
 }  // namespace marbledyke::rollout
--- a/src/rollout/file.cpp
+++ b/src/rollout/file.cpp
@@ -10,8 +10,8 @@
 
 extern const char* const kSchema;
 
-Read read_plan(const std::string& text) {
-  Read out;
+PlanResult read_plan(const std::string& text) {
+  PlanResult out;
   const auto document = xml::Document::read(text, kSchema, "urn:marbledyke:rollout:1", out.faults);
   if (!document) return out;
   xml::Reader reader(out.faults);
@@ -19,18 +19,18 @@
   const xml::Element root = document->root();
   plan.name = root.attribute("name").value_or("");
   plan.version = root.attribute("version").value_or("");
-  plan.from = root.attribute("from").value_or("");
-  if (!plan.from.empty() && plan.from.front() != '/')
-    reader.fault(root, "from: not an absolute path: " + plan.from);
-  plan.tried = root.attribute("try").value_or("yes") == "yes";
-  reader.whole(root, "at-a-time", 1, 4096, plan.at_a_time);
-  reader.span(root, "before", 5s, 24h, plan.before);
+  plan.source_folder = root.attribute("from").value_or("");
+  if (!plan.source_folder.empty() && plan.source_folder.front() != '/')
+    reader.fault(root, "from: not an absolute path: " + plan.source_folder);
+  plan.verify_first = root.attribute("try").value_or("yes") == "yes";
+  reader.whole(root, "at-a-time", 1, 4096, plan.max_concurrent);
+  reader.span(root, "before", 5s, 24h, plan.baseline_time);
   reader.span(root, "burn-in", 0s, 1h, plan.burn_in);
-  reader.span(root, "longest-wait", 1s, 48h, plan.longest_wait);
-  reader.span(root, "swap-limit", 1s, 1h, plan.swap_limit);
-  reader.number(root, "false-stops", 0.0001, 0.5, plan.limits.false_stops);
-  reader.whole(root, "block", 1, 600, plan.limits.block_s);
-  reader.whole(root, "least-asked", 1, 100'000, plan.limits.least_asked);
+  reader.span(root, "longest-wait", 1s, 48h, plan.max_wait);
+  reader.span(root, "swap-limit", 1s, 1h, plan.swap_timeout);
+  reader.number(root, "false-stops", 0.0001, 0.5, plan.limits.false_stop_probability);
+  reader.whole(root, "block", 1, 600, plan.limits.block_seconds);
+  reader.whole(root, "least-asked", 1, 100'000, plan.limits.min_multigets);
   std::set<std::string> names;
   for (const xml::Element& at : root.children()) {
     if (at.name() == "stage") {
@@ -47,8 +47,8 @@
     } else if (at.name() == "limit") {
       static constexpr const char* kNames[] = {"good", "failed", "pushed-back", "slow", "further", "cpu"};
       const std::string measure = at.attribute("measure").value_or("");
-      for (int i = 0; i < kMeasures; ++i) {
-        if (measure == kNames[i]) reader.number(at, "too-much", 0.0001, 1, plan.limits.too_much[i]);
+      for (int i = 0; i < kMeasureCount; ++i) {
+        if (measure == kNames[i]) reader.number(at, "too-much", 0.0001, 1, plan.limits.max_degradation[i]);
       }
     }
   }
@@ -57,8 +57,8 @@
   return out;
 }
 
-Read read_plan_file(const std::string& path) {
-  Read out;
+PlanResult read_plan_file(const std::string& path) {
+  PlanResult out;
   const auto text = xml::read_file(path, out.faults);
   return text ? read_plan(*text) : out;
 }
--- a/src/rollout/file.h
+++ b/src/rollout/file.h
@@ -10,11 +10,11 @@
 
 namespace marbledyke::rollout {
 
-struct Read {
+struct PlanResult {
   std::optional<Plan> plan;  // none where there is a fault
   std::vector<config::Fault> faults;
 };
-Read read_plan(const std::string& text);
-Read read_plan_file(const std::string& path);
+PlanResult read_plan(const std::string& text);
+PlanResult read_plan_file(const std::string& path);
 
 }  // namespace marbledyke::rollout
--- a/src/rollout/judge.cpp
+++ b/src/rollout/judge.cpp
@@ -11,22 +11,22 @@
 
 using namespace std::chrono_literals;
 
-constexpr double kNoWarmingUp = 16e6;  // bytes that a process grows by beyond what the old ones do
+constexpr double kWarmUpGrowthBytes = 16e6;  // bytes that a process grows by beyond what the old ones do
 constexpr const char* kMeasureNames[] = {"good", "failed", "pushed back", "slow", "further sends", "CPU"};
 constexpr const char* kVerdictNames[] = {"going",   "passed", "too little to tell", "worse", "harm",
                                          "trouble", "at once"};
-constexpr double kLikely = 8;       // blocks at which the mixture is at its best
-constexpr double kLeastBlocks = 8;  // before and since, until a test says anything
+constexpr double kMixtureBlocks = 8;   // blocks at which the mixture is at its best
+constexpr double kMinTotalBlocks = 8;  // before and since, until a test says anything
 // And so many since: the mean of fewer is fitted to them, so that a cluster alone would scatter by nothing
 // (with 1 a fifth of sound rollouts was stopped).
-constexpr double kLeastSince = 4;
-constexpr double kLeastScatter = 1e-7;
-constexpr double kMostLog = 700;
-constexpr std::size_t kLately = 6;  // blocks that the whole fleet is held against its past by
-constexpr int kLeastBefore = 4;     // blocks
-constexpr double kBaseChance =
+constexpr double kMinComparisonBlocks = 4;
+constexpr double kMinVariance = 1e-7;
+constexpr double kMaxLogRatio = 700;
+constexpr std::size_t kRecentBlocks = 6;  // blocks that the whole fleet is held against its past by
+constexpr int kMinBaselineBlocks = 4;     // blocks
+constexpr double kBaselineErrorProbability =
     0.1;  // that what was different before lies outside what is taken off, either way
-constexpr std::uint64_t kLeastLatencies = 200;
+constexpr std::uint64_t kMinLatencySamples = 200;
 
 }  // namespace
 
@@ -36,95 +36,95 @@
 // ---- sides ----
 
 void Side::add(const totals::Count& c, Span slow_from) {
-  asked += c.taken;
-  ended += c.ended() - c.left;  // a client that leaves says nothing of the gatherer
+  received += c.taken;
+  completed += c.ended() - c.left;  // a client that leaves says nothing of the gatherer
   good += c.in_budget;
   failed += c.failed;
   pushed_back += c.pushed_back;
   answered += c.answered;
   if (slow_from > 0us) slow += c.latency.above(slow_from);
   sends += c.sends;
-  further += c.further;
+  repeated_sends += c.further;
 }
 
 void Side::merge(const Side& o) {
-  asked += o.asked;
-  ended += o.ended;
+  received += o.received;
+  completed += o.completed;
   good += o.good;
   failed += o.failed;
   pushed_back += o.pushed_back;
   answered += o.answered;
   slow += o.slow;
   sends += o.sends;
-  further += o.further;
-  cpu += o.cpu;
+  repeated_sends += o.repeated_sends;
+  cpu_seconds += o.cpu_seconds;
 }
 
-std::optional<double> Side::share(Measure measure, int least) const {
+std::optional<double> Side::ratio(Measure measure, int least) const {
   const auto of = [least](std::uint64_t part, std::uint64_t whole) -> std::optional<double> {
     if (whole < static_cast<std::uint64_t>(least)) return std::nullopt;
     return static_cast<double>(std::min(part, whole)) / static_cast<double>(whole);
   };
   switch (measure) {
     case Measure::good:
-      return of(good, ended);
+      return of(good, completed);
     case Measure::failed:
-      return of(failed, ended);
+      return of(failed, completed);
     case Measure::pushed_back:
-      return of(pushed_back, ended);
+      return of(pushed_back, completed);
     case Measure::slow:
       return of(slow, answered);
     case Measure::further:
-      return of(further, sends);
+      return of(repeated_sends, sends);
     case Measure::cpu:
-      if (ended < static_cast<std::uint64_t>(least) || cpu <= 0) return std::nullopt;
-      return cpu / static_cast<double>(ended);
+      if (completed < static_cast<std::uint64_t>(least) || cpu_seconds <= 0) return std::nullopt;
+      return cpu_seconds / static_cast<double>(completed);
   }
   return std::nullopt;
 }
 
 // ---- a sequence ----
 
-void Sequence::see(double difference) {
+void SequentialTest::observe(double difference) {
   count_ += 1;
   sum_ += difference;
   squares_ += difference * difference;
 }
 
-double Sequence::scatter() const {
+double SequentialTest::block_variance() const {
   const double own = count_ > 0 ? std::max(squares_ - sum_ * sum_ / count_, 0.0) : 0;
   // The mean of either is fitted, which costs a degree of freedom each; a little is added for what is rare.
-  const double freedom = std::max(known_ - 1, 0.0) + std::max(count_ - 1, 0.0);
-  return freedom > 0 ? (own + known_squares_) / freedom + kLeastScatter : 1;
+  const double freedom = std::max(prior_blocks_ - 1, 0.0) + std::max(count_ - 1, 0.0);
+  return freedom > 0 ? (own + prior_squares_) / freedom + kMinVariance : 1;
 }
 
-double Sequence::wealth_at(double blocks) const {
-  if (count_ < kLeastSince || known_ + count_ < kLeastBlocks) return 0;
-  const double v = scatter();
+double SequentialTest::log_likelihood_ratio_at(double blocks) const {
+  if (count_ < kMinComparisonBlocks || prior_blocks_ + count_ < kMinTotalBlocks) return 0;
+  const double v = block_variance();
   const double sum = (sum_ / count_ - allowed_) * blocks;
-  const double prior = kLikely * v;
+  const double prior = kMixtureBlocks * v;
   const double spread = prior + blocks * v;
   const boost::math::normal standard;
   const double below = boost::math::cdf(standard, std::clamp(sum / std::sqrt(spread), -8.0, 8.0));
   return std::min(std::log(2 * below) + 0.5 * std::log(prior / spread) +
                       sum * std::abs(sum) / (2 * spread) * (sum > 0 ? 1 : 0),
-                  kMostLog);
+                  kMaxLogRatio);
 }
 
-double Sequence::wealth() const { return std::exp(wealth_at(count_)); }
+double SequentialTest::likelihood_ratio() const { return std::exp(log_likelihood_ratio_at(count_)); }
 
-std::optional<int> Sequence::blocks_until(double wealth) const {
+std::optional<int> SequentialTest::blocks_until(double likelihood_ratio) const {
   if (count_ < 2 || sum_ / count_ <= allowed_) return std::nullopt;
-  const double wanted = std::log(wealth);
+  const double wanted = std::log(likelihood_ratio);
   for (double more = 1; more < 1e6; more *= 1.25) {
-    if (wealth_at(count_ + more) >= wanted) return static_cast<int>(std::ceil(more));
+    if (log_likelihood_ratio_at(count_ + more) >= wanted) return static_cast<int>(std::ceil(more));
   }
   return std::nullopt;
 }
 
 // ---- the judge ----
 
-Judge::Judge(const Limits& limits, int tests) : limits_(limits), shared_by_(std::max(tests, 1)) {}
+Judge::Judge(const Limits& limits, int tests) : limits_(limits), max_comparisons_(std::max(tests, 1)) {}
 
 // Above 0 is worse, whichever the measure.
 double Judge::difference(Measure measure, double old_share, double new_share) {
@@ -133,7 +133,7 @@
   return new_share - old_share;
 }
 
-Block Judge::pooled(const Block& block) {
+Block Judge::with_totals(const Block& block) {
   Block out = block;
   for (const auto& [stratum, sides] : block) {
     for (const Stratum& of : {Stratum{stratum.op_type, "all"}, Stratum{"all", "all"}}) {
@@ -145,26 +145,26 @@
   return out;
 }
 
-void Judge::before(const Block& plain) {
-  const Block block = pooled(plain);
+void Judge::add_baseline_block(const Block& plain) {
+  const Block block = with_totals(plain);
   for (const auto& [stratum, sides] : block) {
-    for (int i = 0; i < kMeasures; ++i) {
+    for (int i = 0; i < kMeasureCount; ++i) {
       const auto measure = static_cast<Measure>(i);
-      Base& base = base_[{stratum, measure}];
-      base.old_so_far.merge(sides.first);
-      base.new_so_far.merge(sides.second);
-      const auto a = base.old_so_far.share(measure, limits_.least_asked);
-      const auto b = base.new_so_far.share(measure, limits_.least_asked);
+      Baseline& base = baselines_[{stratum, measure}];
+      base.partial_old.merge(sides.first);
+      base.partial_new.merge(sides.second);
+      const auto a = base.partial_old.ratio(measure, limits_.min_multigets);
+      const auto b = base.partial_new.ratio(measure, limits_.min_multigets);
       if (!a || !b) continue;
-      base.old_so_far = base.new_so_far = {};
+      base.partial_old = base.partial_new = {};
       const double d = difference(measure, *a, *b);
       base.count += 1;
       base.sum += d;
       base.squares += d * d;
     }
   }
-  const auto note = [&](const Side& side, Base& base) {
-    if (const auto share = side.share(Measure::good, limits_.least_asked)) {
+  const auto note = [&](const Side& side, Baseline& base) {
+    if (const auto share = side.ratio(Measure::good, limits_.min_multigets)) {
       base.count += 1;
       base.sum += *share;
       base.squares += *share * *share;
@@ -176,179 +176,186 @@
   note(all->second.second, good_before_new_);
 }
 
-void Judge::learn_latencies(const std::string& op_type, const totals::Latencies& latencies) {
-  if (!began_) latencies_[op_type].merge(latencies);
+void Judge::add_baseline_latencies(const std::string& op_type, const totals::Latencies& latencies) {
+  if (!comparing_) latencies_[op_type].merge(latencies);
 }
 
-std::optional<Span> Judge::slow_from(const std::string& op_type) const {
+std::optional<Span> Judge::slow_threshold(const std::string& op_type) const {
   const auto at = latencies_.find(op_type);
-  if (at == latencies_.end() || at->second.count() < kLeastLatencies) return std::nullopt;
+  if (at == latencies_.end() || at->second.count() < kMinLatencySamples) return std::nullopt;
   return at->second.at(0.9);
 }
 
-void Judge::after(const Block& plain) {
-  const Block block = pooled(plain);
+void Judge::add_comparison_block(const Block& plain) {
+  const Block block = with_totals(plain);
   const auto all = block.find({"all", "all"});
   if (all == block.end()) return;
-  const auto good_old = all->second.first.share(Measure::good, limits_.least_asked);
-  const auto good_new = all->second.second.share(Measure::good, limits_.least_asked);
-  had_old_ = had_old_ || good_old.has_value();
+  const auto good_old = all->second.first.ratio(Measure::good, limits_.min_multigets);
+  const auto good_new = all->second.second.ratio(Measure::good, limits_.min_multigets);
+  old_side_seen_ = old_side_seen_ || good_old.has_value();
   if (good_old || good_new)
-    lately_.emplace_back(good_old ? *good_old : *good_new, good_new ? *good_new : *good_old);
-  if (lately_.size() > kLately) lately_.erase(lately_.begin());
+    recent_good_shares_.emplace_back(good_old ? *good_old : *good_new, good_new ? *good_new : *good_old);
+  if (recent_good_shares_.size() > kRecentBlocks) recent_good_shares_.erase(recent_good_shares_.begin());
   // What strikes old and new alike neither stops nor passes a stage: differences scatter otherwise in it than
   // before (two in a hundred sound rollouts were stopped by such blocks).
-  if (good_old && good_new && good_before_old_.count >= kLeastBefore &&
-      good_before_new_.count >= kLeastBefore &&
-      good_before_old_.sum / good_before_old_.count - *good_old >= limits_.trouble / 2 &&
-      good_before_new_.sum / good_before_new_.count - *good_new >= limits_.trouble / 2)
+  if (good_old && good_new && good_before_old_.count >= kMinBaselineBlocks &&
+      good_before_new_.count >= kMinBaselineBlocks &&
+      good_before_old_.sum / good_before_old_.count - *good_old >= limits_.max_shared_drop / 2 &&
+      good_before_new_.sum / good_before_new_.count - *good_new >= limits_.max_shared_drop / 2)
     return;
   for (const auto& [stratum, sides] : block) {
-    for (int i = 0; i < kMeasures; ++i) {
+    for (int i = 0; i < kMeasureCount; ++i) {
       const auto measure = static_cast<Measure>(i);
       const Key key{stratum, measure};
       auto at = tests_.find(key);
       if (at == tests_.end()) {
-        const double too_much = limits_.too_much[i];
+        const double max_degradation = limits_.max_degradation[i];
         Test test;
         // Against two hypotheses: that it is not worse to speak of, and that it is worse by too much.
-        test.worse = Sequence(limits_.let_be * too_much);
-        test.sound = Sequence(-too_much * (stratum.op_type == "all" ? 1 : limits_.within_op_type));
-        test.offset = too_much / 2;  // nothing is known of before: half of what is too much is let pass
-        const auto base = base_.find(key);
-        if (base != base_.end() && base->second.count >= kLeastBefore) {
-          const Base& b0 = base->second;
+        test.worse = SequentialTest(limits_.ignored_fraction * max_degradation);
+        test.sound =
+            SequentialTest(-max_degradation * (stratum.op_type == "all" ? 1 : limits_.op_type_factor));
+        test.offset =
+            max_degradation / 2;  // nothing is known of before: half of what is too much is let pass
+        const auto base = baselines_.find(key);
+        if (base != baselines_.end() && base->second.count >= kMinBaselineBlocks) {
+          const Baseline& b0 = base->second;
           const boost::math::students_t t(b0.count - 1);
-          const double half = boost::math::quantile(boost::math::complement(t, kBaseChance / 2)) *
-                              std::sqrt(b0.variance() / b0.count);
+          const double half =
+              boost::math::quantile(boost::math::complement(t, kBaselineErrorProbability / 2)) *
+              std::sqrt(b0.variance() / b0.count);
           // What was worse before is no fault of the change; what may have been is given to it in part.
-          test.offset = std::clamp(b0.sum / b0.count, -0.5, 0.5) + std::min(half, too_much / 2);
-          for (Sequence* one : {&test.worse, &test.sound})
-            one->know(b0.count, b0.variance() * (b0.count - 1));
+          test.offset = std::clamp(b0.sum / b0.count, -0.5, 0.5) + std::min(half, max_degradation / 2);
+          for (SequentialTest* one : {&test.worse, &test.sound})
+            one->add_prior_variance(b0.count, b0.variance() * (b0.count - 1));
         }
         at = tests_.emplace(key, test).first;
       }
       Test& test = at->second;
-      test.old_so_far.merge(sides.first);
-      test.new_so_far.merge(sides.second);
-      const auto a = test.old_so_far.share(measure, limits_.least_asked);
-      const auto b = test.new_so_far.share(measure, limits_.least_asked);
+      test.partial_old.merge(sides.first);
+      test.partial_new.merge(sides.second);
+      const auto a = test.partial_old.ratio(measure, limits_.min_multigets);
+      const auto b = test.partial_new.ratio(measure, limits_.min_multigets);
       if (!a || !b) continue;
-      test.old_so_far = test.new_so_far = {};
+      test.partial_old = test.partial_new = {};
       const double d = difference(measure, *a, *b) - test.offset;
-      test.worse.see(d);
-      test.sound.see(-d);
+      test.worse.observe(d);
+      test.sound.observe(-d);
     }
   }
 }
 
-void Judge::at_once(const std::string& what) {
-  if (at_once_.empty()) at_once_ = what;
+void Judge::stop_immediately(const std::string& what) {
+  if (immediate_stop_.empty()) immediate_stop_ = what;
 }
 
-void Judge::memory(double bytes_new, double bytes_old, double minutes) {
+void Judge::on_memory_growth(double bytes_new, double bytes_old, double minutes) {
   const double beyond = bytes_new - std::max(bytes_old, 0.0);
   // Growth over less than this is a process that warms up, unless it is by so much.
-  if (minutes < 3 && beyond * minutes < kNoWarmingUp) return;
-  if (beyond < limits_.memory_a_minute) return;
+  if (minutes < 3 && beyond * minutes < kWarmUpGrowthBytes) return;
+  if (beyond < limits_.max_memory_growth_per_minute) return;
   char out[120];
   std::snprintf(out, sizeof out, "memory grows by %.2f MB a minute, the old ones' by %.2f", bytes_new / 1e6,
                 bytes_old / 1e6);
-  at_once(out);
+  stop_immediately(out);
 }
 
-std::vector<Judge::Line> Judge::lines() const {
-  std::vector<Line> out;
+std::vector<Judge::Comparison> Judge::comparisons() const {
+  std::vector<Comparison> out;
   for (const auto& [key, test] : tests_)
-    out.push_back({key.stratum, key.measure, test.worse.mean(), test.worse.wealth(), test.sound.wealth(),
-                   test.worse.count()});
+    out.push_back({key.stratum, key.measure, test.worse.mean(), test.worse.likelihood_ratio(),
+                   test.sound.likelihood_ratio(), test.worse.count()});
   return out;
 }
 
-Finding Judge::look(bool soak_over) const {
+Finding Judge::evaluate(bool soak_over) const {
   Finding out;
-  if (!at_once_.empty()) {
-    out.verdict = Verdict::at_once;
-    out.what = at_once_;
+  if (!immediate_stop_.empty()) {
+    out.verdict = Verdict::immediate_stop;
+    out.description = immediate_stop_;
     return out;
   }
-  const auto said = [](const Key& key, const Test& test, double too_much) {
+  const auto said = [](const Key& key, const Test& test, double max_degradation) {
     char text[200];
     std::snprintf(text, sizeof text,
                   "%s of %s in %s: worse by %.4f beyond what was before (%.4f is too much), %d blocks",
                   name_of(key.measure), key.stratum.op_type.c_str(), key.stratum.zone.c_str(),
-                  test.worse.mean(), too_much, test.worse.count());
+                  test.worse.mean(), max_degradation, test.worse.count());
     return std::string(text);
   };
   // A trouble of all is nobody's; before the rest, since it spoils what is compared.
-  if (lately_.size() >= kLately && good_before_old_.count >= kLeastBefore &&
-      good_before_new_.count >= kLeastBefore) {
+  if (recent_good_shares_.size() >= kRecentBlocks && good_before_old_.count >= kMinBaselineBlocks &&
+      good_before_new_.count >= kMinBaselineBlocks) {
     double now_old = 0, now_new = 0;
-    for (const auto& [a, b] : lately_) {
-      now_old += a / static_cast<double>(lately_.size());
-      now_new += b / static_cast<double>(lately_.size());
+    for (const auto& [a, b] : recent_good_shares_) {
+      now_old += a / static_cast<double>(recent_good_shares_.size());
+      now_new += b / static_cast<double>(recent_good_shares_.size());
     }
     const double fell_old = good_before_old_.sum / good_before_old_.count - now_old;
     const double fell_new = good_before_new_.sum / good_before_new_.count - now_new;
     char text[160];
     std::snprintf(text, sizeof text, "good share below its past by %.3f (old) and %.3f (new)", fell_old,
                   fell_new);
-    if (fell_old >= limits_.harm && fell_new < fell_old / 2) {
+    if (fell_old >= limits_.max_old_side_drop && fell_new < fell_old / 2) {
       out.verdict = Verdict::harm;
-      out.what = text;
+      out.description = text;
       return out;
     }
-    if (fell_old >= limits_.trouble && fell_new >= limits_.trouble && fell_new < 2 * fell_old) {
-      out.verdict = Verdict::trouble;
-      out.what = text;
+    if (fell_old >= limits_.max_shared_drop && fell_new >= limits_.max_shared_drop &&
+        fell_new < 2 * fell_old) {
+      out.verdict = Verdict::shared_degradation;
+      out.description = text;
       return out;
     }
   }
-  if (!had_old_ && lately_.size() >= kLately && good_before_new_.count >= kLeastBefore) {
+  if (!old_side_seen_ && recent_good_shares_.size() >= kRecentBlocks &&
+      good_before_new_.count >= kMinBaselineBlocks) {
     // Nobody is old any more: the whole fleet is held against its own past.
     double now_new = 0;
-    for (const auto& [a, b] : lately_) now_new += b / static_cast<double>(lately_.size());
+    for (const auto& [a, b] : recent_good_shares_)
+      now_new += b / static_cast<double>(recent_good_shares_.size());
     const double fell = good_before_new_.sum / good_before_new_.count - now_new;
-    if (fell >= limits_.trouble) {
-      out.verdict = Verdict::trouble;
-      out.what = "the whole fleet's good share is below its past";
+    if (fell >= limits_.max_shared_drop) {
+      out.verdict = Verdict::shared_degradation;
+      out.description = "the whole fleet's good share is below its past";
     } else if (soak_over) {
       out.verdict = Verdict::passed;
     }
     return out;
   }
-  if (!had_old_ && lately_.size() >= kLately) {
+  if (!old_side_seen_ && recent_good_shares_.size() >= kRecentBlocks) {
     // Nor is there a past: a successor that took over in the last stage. What needs no comparison has not
     // spoken.
     if (soak_over) out.verdict = Verdict::passed;
     return out;
   }
-  const double stop_at = shared_by_ / limits_.false_stops;
+  const double stop_at = max_comparisons_ / limits_.false_stop_probability;
   const Test* worst = nullptr;
   const Key* worst_key = nullptr;
   for (const auto& [key, test] : tests_) {
-    if (worst == nullptr || test.worse.wealth() > worst->worse.wealth()) {
+    if (worst == nullptr || test.worse.likelihood_ratio() > worst->worse.likelihood_ratio()) {
       worst = &test;
       worst_key = &key;
     }
   }
-  if (worst != nullptr && worst->worse.wealth() >= stop_at) {
+  if (worst != nullptr && worst->worse.likelihood_ratio() >= stop_at) {
     out.verdict = Verdict::worse;
-    out.what = said(*worst_key, *worst, limits_.too_much[static_cast<std::size_t>(worst_key->measure)]);
-    out.wealth = worst->worse.wealth();
+    out.description =
+        said(*worst_key, *worst, limits_.max_degradation[static_cast<std::size_t>(worst_key->measure)]);
+    out.likelihood_ratio = worst->worse.likelihood_ratio();
     return out;
   }
   if (!soak_over) return out;
   // What has to be shown not to be worse by too much: every measure over all, and the good share of each op
   // type. The finer ones only stop: most of them have too little to show anything in a stage's time.
-  const double pass_at = 1 / limits_.doubt;
+  const double pass_at = 1 / limits_.false_pass_probability;
   int longest = 0;
   bool unsaid = false;
   const Key* open = nullptr;
   for (const auto& [key, test] : tests_) {
     const bool has_to =
         key.stratum.op_type == "all" || (key.stratum.zone == "all" && key.measure == Measure::good);
-    if (!has_to || test.sound.wealth() >= pass_at) continue;
+    if (!has_to || test.sound.likelihood_ratio() >= pass_at) continue;
     open = &key;
     if (const auto more = test.sound.blocks_until(pass_at)) {
       longest = std::max(longest, *more);
@@ -360,13 +367,13 @@
     out.verdict = Verdict::passed;
     return out;
   }
-  out.verdict = Verdict::too_little;
+  out.verdict = Verdict::insufficient_data;
   if (open != nullptr)
-    out.what =
+    out.description =
         std::string(name_of(open->measure)) + " of " + open->stratum.op_type + " in " + open->stratum.zone;
   else
-    out.what = "nothing could be compared";
-  if (open != nullptr && !unsaid) out.seconds = longest * limits_.block_s;
+    out.description = "nothing could be compared";
+  if (open != nullptr && !unsaid) out.more_seconds = longest * limits_.block_seconds;
   return out;
 }
 
--- a/src/rollout/plan.cpp
+++ b/src/rollout/plan.cpp
@@ -45,10 +45,10 @@
   return out;
 }
 
-std::vector<std::string> objections(const Plan& plan, const std::vector<Member>& members) {
+std::vector<std::string> plan_errors(const Plan& plan, const std::vector<Member>& members) {
   std::vector<std::string> out;
   if (plan.stages.empty()) out.push_back("there is no stage");
-  if (plan.at_a_time < 1) out.push_back("at-a-time is under 1");
+  if (plan.max_concurrent < 1) out.push_back("at-a-time is under 1");
   if (members.size() < 2) out.push_back("a fleet of one has nothing to compare with");
   const auto stages = stages_of(plan, members);
   std::size_t changed = 0;
@@ -65,8 +65,8 @@
   return out;
 }
 
-int comparisons(const Plan& plan, int op_types, int zones) {
-  return std::max(1, static_cast<int>(plan.stages.size()) * kMeasures *
+int max_comparisons(const Plan& plan, int op_types, int zones) {
+  return std::max(1, static_cast<int>(plan.stages.size()) * kMeasureCount *
                          (std::max(op_types, 1) * (std::max(zones, 1) + 1) + 1));
 }
 
--- a/src/rollout/plan.h
+++ b/src/rollout/plan.h
@@ -21,13 +21,14 @@
 
 struct Plan {
   std::string name, version;
-  std::string from;  // the folder on each machine that the version is taken from; empty: it is there already
-  bool tried = false;  // each keeper tries it, and the way back, before the first stage
-  int at_a_time = 1;
-  Span before{30'000'000};         // what both sides do is looked at for so long before the first change
+  std::string
+      source_folder;  // the folder on each machine that the version is taken from; empty: it is there already
+  bool verify_first = false;  // each keeper tries it, and the way back, before the first stage
+  int max_concurrent = 1;
+  Span baseline_time{30'000'000};  // what both sides do is looked at for so long before the first change
   Span burn_in{5'000'000};         // after a start, left out on both sides
-  Span longest_wait{600'000'000};  // for more traffic, or for the end of a trouble; then back
-  Span swap_limit{60'000'000};     // a keeper has carried its order out within this
+  Span max_wait{600'000'000};      // for more traffic, or for the end of a trouble; then back
+  Span swap_timeout{60'000'000};   // a keeper has carried its order out within this
   Limits limits;
   std::vector<StagePlan> stages;
 };
@@ -43,9 +44,9 @@
 std::vector<std::vector<std::string>> stages_of(const Plan& plan, const std::vector<Member>& members);
 
 // What makes no sense in it for these members; empty: all is well.
-std::vector<std::string> objections(const Plan& plan, const std::vector<Member>& members);
+std::vector<std::string> plan_errors(const Plan& plan, const std::vector<Member>& members);
 
 // How many comparisons all stages may make, by which the chance of a false stop is shared.
-int comparisons(const Plan& plan, int op_types, int zones);
+int max_comparisons(const Plan& plan, int op_types, int zones);
 
 }  // namespace marbledyke::rollout
--- a/tests/rollout_traces.cpp
+++ b/tests/rollout_traces.cpp
@@ -31,7 +31,7 @@
       for (const std::string& name : stages[i]) std::printf(" %s", name.c_str());
       std::printf("\n");
     }
-    for (const std::string& why : objections(plan, members(count, zones)))
+    for (const std::string& why : plan_errors(plan, members(count, zones)))
       std::printf("objection: %s\n", why.c_str());
   };
   Plan plan;
@@ -51,7 +51,7 @@
 
 Side side(std::uint64_t asked, double bad, std::mt19937& chance) {
   Side out;
-  out.asked = out.ended = asked;
+  out.received = out.completed = asked;
   const auto lost =
       static_cast<std::uint64_t>(std::binomial_distribution<int>(static_cast<int>(asked), bad)(chance));
   out.good = out.answered = asked - lost;
@@ -59,9 +59,9 @@
   out.slow = static_cast<std::uint64_t>(
       std::binomial_distribution<int>(static_cast<int>(out.answered), 0.1)(chance));
   out.sends = asked * 4;
-  out.further =
+  out.repeated_sends =
       static_cast<std::uint64_t>(std::binomial_distribution<int>(static_cast<int>(out.sends), 0.02)(chance));
-  out.cpu = 5e-5 * static_cast<double>(asked);
+  out.cpu_seconds = 5e-5 * static_cast<double>(asked);
   return out;
 }
 
@@ -120,14 +120,14 @@
       }
       return out;
     };
-    for (int i = 0; i < 12; ++i) judge.before(block(false, i));
-    judge.begin();
-    rollout::Verdict last = rollout::Verdict::going;
+    for (int i = 0; i < 12; ++i) judge.add_baseline_block(block(false, i));
+    judge.start_comparison();
+    rollout::Verdict last = rollout::Verdict::undecided;
     std::string said;
     int at = 0;
     for (int i = 0; i < 48; ++i) {
-      judge.after(block(true, i));
-      const Finding found = judge.look(i >= 36);
+      judge.add_comparison_block(block(true, i));
+      const Finding found = judge.evaluate(i >= 36);
       if (found.verdict != last) {
         said += (said.empty() ? "" : ", ") + std::string(name_of(found.verdict)) + " after " +
                 std::to_string(i + 1);
@@ -142,13 +142,14 @@
     std::printf("%-40s %s\n", one.name, said.empty() ? "nothing" : said.c_str());
   }
   Judge leak(Limits{}, 10);
-  leak.memory(1e6, 0.1e6, 2);
-  std::printf("1 MB a minute, seen for 2 minutes: %s\n", name_of(leak.look(false).verdict));
-  leak.memory(1e6, 0.1e6, 4);
-  std::printf("seen for 4: %s, %s\n", name_of(leak.look(false).verdict), leak.look(false).what.c_str());
+  leak.on_memory_growth(1e6, 0.1e6, 2);
+  std::printf("1 MB a minute, seen for 2 minutes: %s\n", name_of(leak.evaluate(false).verdict));
+  leak.on_memory_growth(1e6, 0.1e6, 4);
+  std::printf("seen for 4: %s, %s\n", name_of(leak.evaluate(false).verdict),
+              leak.evaluate(false).description.c_str());
   Judge both(Limits{}, 10);
-  both.memory(1e6, 0.9e6, 10);
-  std::printf("the old ones grow as well: %s\n", name_of(both.look(false).verdict));
+  both.on_memory_growth(1e6, 0.9e6, 10);
+  std::printf("the old ones grow as well: %s\n", name_of(both.evaluate(false).verdict));
 }
 
 // A fleet of keepers that carry out orders after a while, or do not, and a conductor that may be replaced at
@@ -164,31 +165,31 @@
   Plan plan;
   std::vector<Member> its;
   std::map<std::string, One> keepers;
-  std::unique_ptr<Conductor> conductor;
-  rollout::Kept kept;
+  std::unique_ptr<Controller> controller;
+  rollout::SavedState saved;
   std::uint64_t epoch = 0;
   Span now{};
-  std::function<Finding(const Conductor&)> judge;
+  std::function<Finding(const Controller&)> judge;
   std::function<void(const std::string&)> told;
   std::string broken;
 
   explicit Fleet(int count) : its(members(count, 2)) {
     plan.name = plan.version = "new";
-    plan.at_a_time = 2;
-    plan.before = 10s;
+    plan.max_concurrent = 2;
+    plan.baseline_time = 10s;
     plan.burn_in = 2s;
-    plan.swap_limit = 20s;
-    plan.longest_wait = 60s;
+    plan.swap_timeout = 20s;
+    plan.max_wait = 60s;
     plan.stages = {{"one", 1, 0, "", "", 20s}, {"half", 0, 0.5, "", "", 20s}, {"all", 0, 1, "", "", 10s}};
     for (const Member& member : its) keepers[member.name] = {};
-    judge = [](const Conductor& c) {
+    judge = [](const Controller& c) {
       Finding out;
-      out.verdict = c.soak_over() ? rollout::Verdict::passed : rollout::Verdict::going;
+      out.verdict = c.is_soak_over() ? rollout::Verdict::passed : rollout::Verdict::undecided;
       return out;
     };
     take_over();
   }
-  void take_over() { conductor = std::make_unique<Conductor>(plan, its, kept, ++epoch, now, 1000s + now); }
+  void take_over() { controller = std::make_unique<Controller>(plan, its, saved, ++epoch, now, 1000s + now); }
   void step() {
     now += 1s;
     for (auto& [name, one] : keepers) {
@@ -202,81 +203,82 @@
         one.outcome = one.to == "new" ? "on_trial" : "done";
       }
     }
-    if (conductor == nullptr) return;
-    conductor->tick(now, 1000s + now);
+    if (controller == nullptr) return;
+    controller->on_tick(now, 1000s + now);
     for (auto& [name, one] : keepers) {
       if (!one.reachable) continue;
-      Report report;
-      report.in_force = one.version;
+      KeeperReport report;
+      report.active_version = one.version;
       report.outcome = one.outcome;
-      report.why = "it failed";
-      report.epoch = one.epoch;
-      report.number = one.number;
+      report.reason = "it failed";
+      report.order_epoch = one.epoch;
+      report.order_number = one.number;
       report.has_version = one.has;
-      report.serves = true;
-      conductor->report(name, report);
+      report.is_serving = true;
+      controller->on_report(name, report);
     }
-    if (conductor->state() == State::soaking || conductor->state() == State::waiting ||
-        conductor->state() == State::swapping)
-      conductor->judged(judge(*conductor));
+    if (controller->state() == State::soaking || controller->state() == State::waiting ||
+        controller->state() == State::swapping)
+      controller->on_finding(judge(*controller));
     carry_out();
   }
   void carry_out() {
     int stage_under_way = -1;
-    while (conductor != nullptr) {
-      const auto act = conductor->next();
-      if (!act) break;
-      if (act->what == Act::What::keep) kept = conductor->kept();
-      if (act->what == Act::What::note && told) told(act->why);
-      if (act->what != Act::What::use && act->what != Act::What::back && act->what != Act::What::confirm)
+    while (controller != nullptr) {
+      const auto action = controller->next_action();
+      if (!action) break;
+      if (action->kind == Action::Kind::save_state) saved = controller->saved();
+      if (action->kind == Action::Kind::log && told) told(action->reason);
+      if (action->kind != Action::Kind::use && action->kind != Action::Kind::roll_back &&
+          action->kind != Action::Kind::confirm)
         continue;
-      One& one = keepers[act->keeper];
+      One& one = keepers[action->keeper];
       if (told)
-        told((act->what == Act::What::use    ? "use "
-              : act->what == Act::What::back ? "back "
-                                             : "confirm ") +
-             act->keeper);
+        told((action->kind == Action::Kind::use         ? "use "
+              : action->kind == Action::Kind::roll_back ? "back "
+                                                        : "confirm ") +
+             action->keeper);
       if (!one.reachable) continue;
-      if (act->what == Act::What::confirm) {
+      if (action->kind == Action::Kind::confirm) {
         if (one.outcome == "on_trial") one.outcome = "done";
         one.epoch = epoch;
-        one.number = act->number;
+        one.number = action->number;
         continue;
       }
-      if (act->what == Act::What::use) {
-        for (int i = 0; i < static_cast<int>(conductor->stages().size()); ++i) {
-          for (const std::string& name : conductor->stages()[static_cast<std::size_t>(i)]) {
-            if (name == act->keeper) stage_under_way = i;
+      if (action->kind == Action::Kind::use) {
+        for (int i = 0; i < static_cast<int>(controller->stages().size()); ++i) {
+          for (const std::string& name : controller->stages()[static_cast<std::size_t>(i)]) {
+            if (name == action->keeper) stage_under_way = i;
           }
         }
-        if (stage_under_way != conductor->kept().stage)
+        if (stage_under_way != controller->saved().stage)
           broken = "an order of another stage than the one under way";
         if (one.version == "new") broken = "a step repeated";
         one.uses += 1;
       }
       if (one.outcome == "under_way") continue;  // its keeper is busy with it
-      one.to = act->what == Act::What::use ? "new" : act->version;
+      one.to = action->kind == Action::Kind::use ? "new" : action->version;
       one.outcome = "under_way";
       one.epoch = epoch;
-      one.number = act->number;
+      one.number = action->number;
       one.at = now + 3s;
     }
     int under_way = 0;
     // One that cannot be reached holds up nobody else.
     for (const auto& [name, one] : keepers) under_way += one.outcome == "under_way" && one.reachable ? 1 : 0;
-    if (under_way > plan.at_a_time) broken = "more at a time than the plan says";
+    if (under_way > plan.max_concurrent) broken = "more at a time than the plan says";
   }
   void run(Span until) {
-    while (now < until && conductor != nullptr && !conductor->over()) step();
+    while (now < until && controller != nullptr && !controller->is_over()) step();
   }
   std::string end() const {
     int new_ones = 0;
     for (const auto& [name, one] : keepers) new_ones += one.version == "new" ? 1 : 0;
-    return std::string(name_of(conductor->state())) + ", " + std::to_string(new_ones) + " of " +
+    return std::string(name_of(controller->state())) + ", " + std::to_string(new_ones) + " of " +
            std::to_string(keepers.size()) + " new" +
-           (conductor->kept().why.empty() ? "" : "; " + conductor->kept().why) +
+           (controller->saved().reason.empty() ? "" : "; " + controller->saved().reason) +
            (broken.empty() ? "" : "; BROKEN: " + broken) +
-           (conductor->impossible() > 0 ? "; IMPOSSIBLE" : "");
+           (controller->impossible_events() > 0 ? "; IMPOSSIBLE" : "");
   }
 };
 
@@ -289,7 +291,7 @@
         std::printf("%4lld  %s\n", static_cast<long long>(fleet.now / 1s), said.c_str());
       };
     }
-    fleet.conductor->start();
+    fleet.controller->start();
     how(fleet);
     fleet.run(1000s);
     std::printf("%s\n", fleet.end().c_str());
@@ -299,12 +301,12 @@
   play(
       "the judge stops the second stage",
       [](Fleet& f) {
-        f.judge = [](const Conductor& c) {
+        f.judge = [](const Controller& c) {
           Finding out;
-          if (c.kept().stage == 1 && c.soaked() > 5s) {
+          if (c.saved().stage == 1 && c.soak_time() > 5s) {
             out.verdict = rollout::Verdict::worse;
-            out.what = "failed of look in a";
-          } else if (c.soak_over()) {
+            out.description = "failed of look in a";
+          } else if (c.is_soak_over()) {
             out.verdict = rollout::Verdict::passed;
           }
           return out;
@@ -325,21 +327,21 @@
     for (auto& [name, one] : f.keepers) one.reachable = true;
   });
   play("too little to tell, for longer than the longest wait", [](Fleet& f) {
-    f.judge = [](const Conductor& c) {
+    f.judge = [](const Controller& c) {
       Finding out;
-      if (c.soak_over()) {
-        out.verdict = rollout::Verdict::too_little;
-        out.what = "good of issue in all";
+      if (c.is_soak_over()) {
+        out.verdict = rollout::Verdict::insufficient_data;
+        out.description = "good of issue in all";
       }
       return out;
     };
   });
   play("a trouble of all for 20 s", [](Fleet& f) {
-    f.judge = [&f](const Conductor& c) {
+    f.judge = [&f](const Controller& c) {
       Finding out;
       if (f.now > 30s && f.now < 50s) {
-        out.verdict = rollout::Verdict::trouble;
-      } else if (c.soak_over()) {
+        out.verdict = rollout::Verdict::shared_degradation;
+      } else if (c.is_soak_over()) {
         out.verdict = rollout::Verdict::passed;
       }
       return out;
@@ -357,16 +359,16 @@
   });
   play("paused, then taken back by a person", [](Fleet& f) {
     f.run(40s);
-    f.conductor->pause();
+    f.controller->pause();
     f.run(60s);
-    std::printf("paused at %s\n", name_of(f.conductor->kept().paused_from));
-    f.conductor->back("by hand");
+    std::printf("paused at %s\n", name_of(f.controller->saved().paused_from));
+    f.controller->roll_back("by hand");
   });
   play("paused and resumed", [](Fleet& f) {
     f.run(40s);
-    f.conductor->pause();
+    f.controller->pause();
     f.run(60s);
-    f.conductor->resume();
+    f.controller->resume();
   });
 }
 
@@ -384,39 +386,39 @@
         one.fails = chance() % 12 == 0;
         one.fails_back = chance() % 20 == 0;
       }
-      fleet.judge = [&chance](const Conductor& c) {
+      fleet.judge = [&chance](const Controller& c) {
         Finding out;
         const auto drawn = chance() % 200;
-        out.verdict = drawn == 0      ? rollout::Verdict::worse
-                      : drawn == 1    ? rollout::Verdict::harm
-                      : drawn < 20    ? rollout::Verdict::trouble
-                      : drawn < 40    ? rollout::Verdict::too_little
-                      : c.soak_over() ? rollout::Verdict::passed
-                                      : rollout::Verdict::going;
+        out.verdict = drawn == 0         ? rollout::Verdict::worse
+                      : drawn == 1       ? rollout::Verdict::harm
+                      : drawn < 20       ? rollout::Verdict::shared_degradation
+                      : drawn < 40       ? rollout::Verdict::insufficient_data
+                      : c.is_soak_over() ? rollout::Verdict::passed
+                                         : rollout::Verdict::undecided;
         return out;
       };
     }
-    fleet.conductor->start();
-    for (int i = 0; i < 2000 && !fleet.conductor->over(); ++i) {
+    fleet.controller->start();
+    for (int i = 0; i < 2000 && !fleet.controller->is_over(); ++i) {
       if (chance() % 15 == 0) {
         fleet.take_over();  // the former one is gone, with what it had decided and not carried out
-        fleet.conductor->start();
+        fleet.controller->start();
       }
       if (!sound && chance() % 40 == 0)
         fleet.keepers["m" + std::to_string(chance() % 6)].reachable = chance() % 3 != 0;
-      if (chance() % 200 == 0) fleet.conductor->pause();
-      if (fleet.conductor->state() == State::paused && chance() % 10 == 0) fleet.conductor->resume();
+      if (chance() % 200 == 0) fleet.controller->pause();
+      if (fleet.controller->state() == State::paused && chance() % 10 == 0) fleet.controller->resume();
       fleet.step();
     }
     for (auto& [name, one] : fleet.keepers) one.reachable = true;
     fleet.run(fleet.now + 600s);
-    if (!fleet.broken.empty() || fleet.conductor->impossible() > 0) {
+    if (!fleet.broken.empty() || fleet.controller->impossible_events() > 0) {
       if (++broken <= 3) std::printf("seed %u: %s\n", seed, fleet.end().c_str());
     }
-    if (!fleet.conductor->over()) {
+    if (!fleet.controller->is_over()) {
       if (++open <= 3) std::printf("seed %u: no end: %s\n", seed, fleet.end().c_str());
     }
-    ends[std::string(sound ? "sound: " : "failing: ") + name_of(fleet.conductor->state())] += 1;
+    ends[std::string(sound ? "sound: " : "failing: ") + name_of(fleet.controller->state())] += 1;
   }
   std::printf("2000 rollouts under successors: broken %d, without an end %d\n", broken, open);
   for (const auto& [end, count] : ends) std::printf("  %s%s\n", end.c_str(), count > 0 ? "" : " NEVER");
