--- a/src/emulator/rollouts.cpp
+++ b/src/emulator/rollouts.cpp
@@ -18,18 +18,18 @@
 
 namespace {
 
-constexpr Span kWall = 1'700'000'000s;
-constexpr Span kProof = 4s;       // from the order until a keeper has proved it
-constexpr Span kLongest = 7200s;  // a rollout that takes longer is given up as it is
+constexpr Duration kWall = 1'700'000'000s;
+constexpr Duration kProof = 4s;       // from the order until a keeper has proved it
+constexpr Duration kLongest = 7200s;  // a rollout that takes longer is given up as it is
 
 struct One {
   int zone = 0;
   double unlike = 1;
   std::string version = "old", outcome = "done";
   std::uint64_t number = 0;
-  Span changes_at = Span::max();
+  Duration changes_at = Duration::max();
   std::string changes_to;
-  Span started{};
+  Duration started{};
 };
 
 }  // namespace
@@ -73,7 +73,7 @@
   std::unique_ptr<Judge> judge;
   std::vector<std::vector<std::vector<Side>>> before;  // by block, gatherer, op type
   RolloutResult out;
-  const Span block = std::chrono::seconds(plan.limits.block_seconds);
+  const Duration block = std::chrono::seconds(plan.limits.block_seconds);
   controller.start();
 
   const auto is_new = [&](const One& one) { return one.version == plan.version; };
@@ -81,7 +81,7 @@
     return rollout::Stratum{"op" + std::to_string(op), "z" + std::to_string(zone)};
   };
   // What each gatherer does in a block of seconds.
-  const auto drawn = [&](Span now) {
+  const auto drawn = [&](Duration now) {
     std::vector<std::vector<Side>> sides(fleet.size(), std::vector<Side>(static_cast<std::size_t>(ops)));
     double share_new = 0;
     for (const One& one : fleet) share_new += is_new(one) ? 1.0 / static_cast<double>(fleet.size()) : 0;
@@ -136,12 +136,12 @@
     return out_block;
   };
 
-  Span next_block = block;
-  for (Span now{}; now < kLongest && !controller.is_over(); now += 1s) {
+  Duration next_block = block;
+  for (Duration now{}; now < kLongest && !controller.is_over(); now += 1s) {
     for (std::size_t g = 0; g < fleet.size(); ++g) {
       One& one = fleet[g];
       if (now < one.changes_at) continue;
-      one.changes_at = Span::max();
+      one.changes_at = Duration::max();
       one.outcome = one.changes_to == plan.version ? "on_trial" : "done";
       if (one.version != one.changes_to) one.started = now;
       one.version = one.changes_to;
@@ -194,7 +194,7 @@
     std::vector<char> side_new(fleet.size()), counts(fleet.size());
     for (std::size_t g = 0; g < fleet.size(); ++g) {
       side_new[g] = is_new(fleet[g]) ? 1 : 0;
-      counts[g] = now - fleet[g].started >= plan.burn_in + block || fleet[g].started == Span{} ? 1 : 0;
+      counts[g] = now - fleet[g].started >= plan.burn_in + block || fleet[g].started == Duration{} ? 1 : 0;
     }
     if (controller.state() == State::soaking || controller.state() == State::waiting)
       judge->add_comparison_block(block_of(sides, side_new, counts));
--- a/src/explore/rollout_world.cpp
+++ b/src/explore/rollout_world.cpp
@@ -24,9 +24,9 @@
 
 constexpr int kMostOrders = 3;  // on their way at a time; a fourth is lost
 constexpr int kMostSteps = 2;   // that an order is on its way, or a keeper at it
-constexpr Span kStep = 3s;
-constexpr Span kHorizon = 40s;
-constexpr Span kWall = 1'000'000s;
+constexpr Duration kStep = 3s;
+constexpr Duration kHorizon = 40s;
+constexpr Duration kWall = 1'000'000s;
 constexpr const char* kOld = "v1";
 constexpr const char* kNew = "v2";
 
@@ -228,7 +228,7 @@
     } else if (in(kComesUp, kKeepers)) {
       keeper::Kept& kept = it(kComesUp).kept;
       const bool back = kept.outcome == Outcome::returning;
-      const bool trial = !back && kept.order && kept.order->trial > Span::zero();
+      const bool trial = !back && kept.order && kept.order->trial > Duration::zero();
       kept.outcome = back ? Outcome::back : trial ? Outcome::on_trial : Outcome::done;
       it(kComesUp).busy = 0;
     } else if (in(kFails, kKeepers)) {
@@ -439,7 +439,7 @@
   }
 
   std::string plant_, broken_;
-  Span now_{};
+  Duration now_{};
   Left left_;
   std::shared_ptr<Controller> controller_,
       former_;  // shared between copies; whoever changes one makes it its own
--- a/src/fleet/agreement.cpp
+++ b/src/fleet/agreement.cpp
@@ -72,7 +72,7 @@
 
 Outcome Agreement::run() {
   loop_.read_clock();
-  const Span until = loop_.now() + kPutLimit;
+  const Duration until = loop_.now() + kPutLimit;
   if (voters_.empty()) {
     why_ = "the fleet's file names no control node that votes";
     return Outcome::refused;
--- a/src/fleet/configuration.h
+++ b/src/fleet/configuration.h
@@ -15,9 +15,9 @@
 
 namespace marbledyke::fleet {
 
-inline constexpr Span kNodeCall{1'000'000};  // the longest of one call to a control node
-inline constexpr Span kPutLimit{8'000'000};  // of a whole change
-inline constexpr Span kLookEvery{200'000};   // how often it is looked whether all have a change
+inline constexpr Duration kNodeCall{1'000'000};  // the longest of one call to a control node
+inline constexpr Duration kPutLimit{8'000'000};  // of a whole change
+inline constexpr Duration kLookEvery{200'000};   // how often it is looked whether all have a change
 inline constexpr int kExitAgreed = 0, kExitConflict = 1, kExitNoMajority = 2, kExitUnknown = 4;
 
 // What a change is to be. `document` is the text of the settings' file.
@@ -25,7 +25,7 @@
   std::string document, author;
   double share = 1;
   std::optional<std::int64_t> after;  // the revision that it must follow
-  Span wait{};                        // until it is in force everywhere; zero: it is not waited for
+  Duration wait{};                    // until it is in force everywhere; zero: it is not waited for
 };
 
 // Brings one change, or none, to agreement.
--- a/src/fleet/main.cpp
+++ b/src/fleet/main.cpp
@@ -24,7 +24,7 @@
 using fleet::Fleet;
 using nlohmann::json;
 
-constexpr Span kLimit = 2s;
+constexpr Duration kLimit = 2s;
 
 std::int64_t now_ms() { return machine_clock().wall() / 1ms; }
 
@@ -106,7 +106,7 @@
   std::size_t from = 0;
   for (bool on = true; on;) {
     ask_all(loop, fleet, view);
-    const Span until = loop.now() + Span(static_cast<std::int64_t>(every * 1e6));
+    const Duration until = loop.now() + Duration(static_cast<std::int64_t>(every * 1e6));
     while (on && loop.now() < until) {
       const std::vector<std::string> lines = view.table(now_ms(), static_cast<std::size_t>(COLS));
       const auto room = static_cast<std::size_t>(std::max(LINES - 3, 1));
@@ -222,7 +222,7 @@
     return fleet::kExitConflict;
   }
   if (words.after >= 0) words.what.after = words.after;
-  words.what.wait = Span(static_cast<std::int64_t>(words.wait_seconds * 1e6));
+  words.what.wait = Duration(static_cast<std::int64_t>(words.wait_seconds * 1e6));
   return fleet::configuration_put(fleet, words.what);
 }
 
--- a/src/fleet/rollout.cpp
+++ b/src/fleet/rollout.cpp
@@ -21,11 +21,11 @@
 using rollout::Action;
 using rollout::State;
 
-constexpr Span kBeat = 1s;
-constexpr Span kLimit = 2s;
-constexpr Span kKnown = 5s;                 // at its start it hears whoever can be heard for so long
+constexpr Duration kBeat = 1s;
+constexpr Duration kLimit = 2s;
+constexpr Duration kKnown = 5s;             // at its start it hears whoever can be heard for so long
 constexpr std::int64_t kSilentMs = 15'000;  // a changed process that tells no window for so long
-constexpr Span kFetched = 3s;               // its windows were fetched within this
+constexpr Duration kFetched = 3s;           // its windows were fetched within this
 constexpr std::size_t kMostState = 4 * 1024 * 1024;
 
 std::string state_file(const std::string& folder) { return folder + "/rollout"; }
@@ -222,7 +222,7 @@
         break;
       case Action::Kind::use: {
         // A keeper that hears nothing any more takes it back by itself.
-        Span trial = plan_.swap_timeout + plan_.burn_in + plan_.max_wait;
+        Duration trial = plan_.swap_timeout + plan_.burn_in + plan_.max_wait;
         for (const rollout::StagePlan& stage : plan_.stages)
           trial = std::max(trial, plan_.swap_timeout + plan_.burn_in + plan_.max_wait + stage.soak);
         order(*action, {{"order", "use"},
@@ -342,12 +342,12 @@
 
 int rollout_plan(const Fleet& fleet, const rollout::Plan& plan) {
   const auto stages = rollout::stages_of(plan, members_of(fleet));
-  Span least = plan.baseline_time;
+  Duration least = plan.baseline_time;
   for (std::size_t i = 0; i < stages.size(); ++i) {
     const auto rounds =
         static_cast<std::int64_t>((stages[i].size() + static_cast<std::size_t>(plan.max_concurrent) - 1) /
                                   static_cast<std::size_t>(plan.max_concurrent));
-    const Span time = plan.burn_in + plan.stages[i].soak + rounds * Span(5s);
+    const Duration time = plan.burn_in + plan.stages[i].soak + rounds * Duration(5s);
     least += time;
     std::cout << plan.stages[i].name << ": " << stages[i].size() << " keepers, " << plan.max_concurrent
               << " at a time, about " << time / 1s << " s:";
--- a/src/fleet/rollout.h
+++ b/src/fleet/rollout.h
@@ -33,7 +33,7 @@
     std::int64_t windows_from = 0;
     std::uint64_t epoch = 0;  // of the last order it took
     std::uint64_t ends_at_change = 0;
-    std::optional<Span> windows_heard;  // the last call for them that was answered
+    std::optional<Duration> windows_heard;  // the last call for them that was answered
     bool asking = false;
   };
   void beat();
@@ -61,7 +61,7 @@
   rollout::WindowAggregator aggregator_;
   HttpClient client_;
   std::map<std::string, Seen> seen_;
-  Span begun_{};
+  Duration begun_{};
   std::int64_t watched_from_ = 0, watched_until_ = 0, swapping_since_ = 0;
   std::string finding_;
   int orders_out_ = 0;
--- a/src/fleet/talk.cpp
+++ b/src/fleet/talk.cpp
@@ -25,7 +25,7 @@
 }
 
 void HttpClient::call(const net::Address& to, const std::string& method, const std::string& target,
-                      const std::string& body, Span limit, Callback on_response) {
+                      const std::string& body, Duration limit, Callback on_response) {
   QueuedCall what{to,
                   method + " " + target +
                       " HTTP/1.1\r\nHost: keeper\r\nConnection: close\r\nContent-Length: " +
--- a/src/fleet/talk.h
+++ b/src/fleet/talk.h
@@ -35,7 +35,7 @@
 
   // Told once, in a later turn. The limit counts from when the call begins.
   void call(const net::Address& to, const std::string& method, const std::string& target,
-            const std::string& body, Span limit, Callback on_response);
+            const std::string& body, Duration limit, Callback on_response);
   std::size_t pending_calls() const { return calls_.size() + queue_.size(); }
 
  private:
@@ -43,7 +43,7 @@
   struct QueuedCall {
     net::Address to;
     std::string bytes;
-    Span limit;
+    Duration limit;
     Callback on_response;
   };
   void start_call(QueuedCall what);
--- a/src/lab/scale/change_maker.cpp
+++ b/src/lab/scale/change_maker.cpp
@@ -14,9 +14,9 @@
 using distribution::Outcome;
 using distribution::Proposer;
 
-constexpr Span kCallLimit = 1s;
-constexpr Span kLimit = 20s;        // of one change
-constexpr Span kLookEvery = 500us;  // at the proposer, while answers come in
+constexpr Duration kCallLimit = 1s;
+constexpr Duration kLimit = 20s;        // of one change
+constexpr Duration kLookEvery = 500us;  // at the proposer, while answers come in
 
 std::int64_t unix_milliseconds() {
   using namespace std::chrono;
@@ -52,7 +52,7 @@
 
 ChangeMaker::Made ChangeMaker::make(const std::string& settings) {
   loop_.read_clock();
-  const Span begun = loop_.now();
+  const Duration begun = loop_.now();
   Proposer::Change change;
   change.fleet = kFleet;
   change.settings = settings;
@@ -60,7 +60,7 @@
   change.made_ms = unix_milliseconds();
   Proposer proposer(kVoters, identity_ + "-" + std::to_string(++made_), change, newest_);
   newest_message_.assign(kVoters, 0);
-  std::optional<Span> next_round;
+  std::optional<Duration> next_round;
   while (proposer.outcome() == Outcome::under_way && loop_.now() < begun + kLimit) {
     while (const auto message = proposer.next()) send(proposer, *message);
     if (proposer.waits_for_round()) {
--- a/src/lab/scale/change_maker.h
+++ b/src/lab/scale/change_maker.h
@@ -23,7 +23,7 @@
     distribution::Outcome outcome = distribution::Outcome::under_way;
     std::int64_t index = 0;
     std::int64_t agreed_us = 0;  // machine_microseconds() at which it was agreed
-    Span took{};                 // from the proposal until then
+    Duration took{};             // from the proposal until then
     std::string why;             // of another outcome
   };
   // Runs the loop until the outcome is known, for kLimit at most.
--- a/src/rollout/conductor.cpp
+++ b/src/rollout/conductor.cpp
@@ -17,9 +17,9 @@
                                        "swap failed", "passed",  "too little", "goes on", "stop",
                                        "waited out",  "pause",   "resume",     "back",    "all back",
                                        "back failed", "all told"};
-constexpr Span kOrderResendInterval =
+constexpr Duration kOrderResendInterval =
     5s;  // an order that no report shows after this was not taken, and is given again
-constexpr Span kReportDelay = 2s;  // a report that is so much later was made after it
+constexpr Duration kReportDelay = 2s;  // a report that is so much later was made after it
 constexpr const char* kKeeperStateNames[] = {"old",          "ordered", "on_trial", "confirmed",
                                              "back_ordered", "back",    "held"};
 
@@ -306,7 +306,7 @@
 }
 
 Controller::Controller(const Plan& plan, const std::vector<Member>& members, SavedState saved,
-                       std::uint64_t epoch, Span now, Span wall)
+                       std::uint64_t epoch, Duration now, Duration wall)
     : plan_(plan),
       members_(members),
       stages_(stages_of(plan, members)),
@@ -362,11 +362,11 @@
   actions_.push_back(std::move(out));
 }
 
-std::string Controller::fingerprint(Span horizon) const {
+std::string Controller::fingerprint(Duration horizon) const {
   std::string out = name_of(saved_.state);
   const auto say = [&](const auto& value) { out += ' ' + std::to_string(value); };
-  const auto age = [&](Span when) { say(std::min((now_ - when) / 1ms, horizon / 1ms)); };
-  const auto ages = [&](const std::map<std::string, Span>& of) {
+  const auto age = [&](Duration when) { say(std::min((now_ - when) / 1ms, horizon / 1ms)); };
+  const auto ages = [&](const std::map<std::string, Duration>& of) {
     for (const auto& [name, when] : of) {
       out += ' ' + name;
       age(when);
@@ -393,7 +393,7 @@
     out += ';';
   }
   // Of these only which came later counts.
-  std::vector<std::pair<Span, std::string>> changed;
+  std::vector<std::pair<Duration, std::string>> changed;
   for (const auto& [name, when] : changed_at_) changed.emplace_back(when, name);
   std::sort(changed.begin(), changed.end());
   for (const auto& [when, name] : changed) out += ' ' + name;
@@ -535,7 +535,7 @@
          now_ - soak_since_ >= plan_.stages[static_cast<std::size_t>(saved_.stage)].soak + plan_.burn_in;
 }
 
-void Controller::on_tick(Span now, Span wall) {
+void Controller::on_tick(Duration now, Duration wall) {
   now_ = now;
   wall_ = wall;
   resend_confirmations();
@@ -644,7 +644,7 @@
         !is_idle(report->second) || report->second.active_version == plan_.version ||
         report->second.order_epoch == saved_.epoch)
       continue;
-    const Span last = std::max(resent_at_[name], ordered_at_[name]);
+    const Duration last = std::max(resent_at_[name], ordered_at_[name]);
     if (now_ - last < kOrderResendInterval) continue;
     resent_at_[name] = now_;
     queue_action(Action::Kind::use, name);
@@ -684,7 +684,7 @@
   for (const std::string& name : keepers_in(KeeperState::ordered)) under_way += settled(name) ? 0 : 1;
   bool open = !keepers_in(KeeperState::back_ordered).empty() || !keepers_in(KeeperState::ordered).empty(),
        failed = !keepers_in(KeeperState::held).empty();
-  std::vector<std::pair<Span, std::string>> left;
+  std::vector<std::pair<Duration, std::string>> left;
   for (const auto& [name, at] : saved_.keepers) {
     if (at == KeeperState::on_trial || at == KeeperState::confirmed ||
         ((at == KeeperState::ordered || at == KeeperState::back_ordered) && settled(name)))
--- a/src/rollout/conductor.h
+++ b/src/rollout/conductor.h
@@ -104,7 +104,7 @@
  public:
   // A successor is given what was kept, and an epoch above all that the keepers have seen.
   Controller(const Plan& plan, const std::vector<Member>& members, SavedState saved, std::uint64_t epoch,
-             Span now, Span wall);
+             Duration now, Duration wall);
 
   void start() { on_event(Event::start); }
   void on_report(const std::string& keeper, const KeeperReport& report);
@@ -113,7 +113,7 @@
   void pause() { on_event(Event::pause); }
   void resume() { on_event(Event::resume); }
   void roll_back(const std::string& reason);
-  void on_tick(Span now, Span wall);
+  void on_tick(Duration now, Duration wall);
 
   std::optional<Action> next_action();
 
@@ -122,15 +122,15 @@
   bool is_over() const;
   // Of the stage under way: the soak is over, as far as its time goes.
   bool is_soak_over() const;
-  Span soak_time() const { return now_ - soak_since_; }
+  Duration soak_time() const { return now_ - soak_since_; }
   // Who has the new version, on trial or confirmed, and since when on this conductor's clock.
-  const std::map<std::string, Span>& changed_keepers() const { return changed_at_; }
+  const std::map<std::string, Duration>& changed_keepers() const { return changed_at_; }
   const std::vector<std::vector<std::string>>& stages() const { return stages_; }
   std::uint64_t impossible_events() const { return impossible_events_; }
   const std::string& last_finding() const { return last_finding_; }  // of the wait, in words
   // All that decides what it does from here on; times as ages of `horizon` at most. Two of one line go on
   // alike.
-  std::string fingerprint(Span horizon) const;
+  std::string fingerprint(Duration horizon) const;
 
  private:
   void on_event(Event event, const std::string& reason = {});
@@ -147,10 +147,10 @@
   std::vector<Member> members_;
   std::vector<std::vector<std::string>> stages_;
   SavedState saved_;
-  Span now_{}, wall_{};
-  Span state_since_{};  // in this state
-  Span soak_since_{}, wait_since_{};
-  std::map<std::string, Span> ordered_at_, changed_at_, last_report_at_, rollback_started_at_, resent_at_;
+  Duration now_{}, wall_{};
+  Duration state_since_{};  // in this state
+  Duration soak_since_{}, wait_since_{};
+  std::map<std::string, Duration> ordered_at_, changed_at_, last_report_at_, rollback_started_at_, resent_at_;
   std::map<std::string, KeeperReport> reports_;
   std::map<std::string, std::uint64_t>
       use_order_numbers_;  // of the last order to change that each was given in this epoch
--- a/src/rollout/judge.cpp
+++ b/src/rollout/judge.cpp
@@ -35,7 +35,7 @@
 
 // ---- sides ----
 
-void Side::add(const totals::Count& c, Span slow_from) {
+void Side::add(const totals::Count& c, Duration slow_from) {
   received += c.taken;
   completed += c.ended() - c.left;  // a client that leaves says nothing of the gatherer
   good += c.in_budget;
@@ -180,7 +180,7 @@
   if (!comparing_) latencies_[op_type].merge(latencies);
 }
 
-std::optional<Span> Judge::slow_threshold(const std::string& op_type) const {
+std::optional<Duration> Judge::slow_threshold(const std::string& op_type) const {
   const auto at = latencies_.find(op_type);
   if (at == latencies_.end() || at->second.count() < kMinLatencySamples) return std::nullopt;
   return at->second.at(0.9);
--- a/src/rollout/judge.h
+++ b/src/rollout/judge.h
@@ -55,7 +55,7 @@
   std::uint64_t received = 0, completed = 0, good = 0, failed = 0, pushed_back = 0, answered = 0, slow = 0,
                 sends = 0, repeated_sends = 0;
   double cpu_seconds = 0;  // seconds; of the side as a whole, so the same in each op type
-  void add(const totals::Count& count, Span slow_from);
+  void add(const totals::Count& count, Duration slow_from);
   void merge(const Side& other);
   // Of that measure; none where too little was asked to say.
   std::optional<double> ratio(Measure measure, int least) const;
@@ -125,7 +125,7 @@
   void on_memory_growth(double bytes_a_minute_new, double bytes_a_minute_old, double minutes);
 
   // The slow mark of an op type, once enough is known; none before.
-  std::optional<Span> slow_threshold(const std::string& op_type) const;
+  std::optional<Duration> slow_threshold(const std::string& op_type) const;
   void add_baseline_latencies(const std::string& op_type, const totals::Latencies& latencies);
 
   Finding evaluate(bool soak_over) const;
--- a/src/rollout/plan.h
+++ b/src/rollout/plan.h
@@ -16,7 +16,7 @@
   double share = 0;   // so many of all, in sum with the stages before
   std::string zone;   // only of this zone, where it is not empty
   std::string group;  // only of this group
-  Span soak{60'000'000};
+  Duration soak{60'000'000};
 };
 
 struct Plan {
@@ -25,10 +25,10 @@
       source_folder;  // the folder on each machine that the version is taken from; empty: it is there already
   bool verify_first = false;  // each keeper tries it, and the way back, before the first stage
   int max_concurrent = 1;
-  Span baseline_time{30'000'000};  // what both sides do is looked at for so long before the first change
-  Span burn_in{5'000'000};         // after a start, left out on both sides
-  Span max_wait{600'000'000};      // for more traffic, or for the end of a trouble; then back
-  Span swap_timeout{60'000'000};   // a keeper has carried its order out within this
+  Duration baseline_time{30'000'000};  // what both sides do is looked at for so long before the first change
+  Duration burn_in{5'000'000};         // after a start, left out on both sides
+  Duration max_wait{600'000'000};      // for more traffic, or for the end of a trouble; then back
+  Duration swap_timeout{60'000'000};   // a keeper has carried its order out within this
   Limits limits;
   std::vector<StagePlan> stages;
 };
--- a/tests/rollout_traces.cpp
+++ b/tests/rollout_traces.cpp
@@ -158,7 +158,7 @@
   struct One {
     std::string version = "old", outcome = "done";
     std::string to;
-    Span at = Span::max();
+    Duration at = Duration::max();
     bool reachable = true, fails = false, fails_back = false, has = true;
     std::uint64_t epoch = 0, number = 0, uses = 0;
   };
@@ -168,7 +168,7 @@
   std::unique_ptr<Controller> controller;
   rollout::SavedState saved;
   std::uint64_t epoch = 0;
-  Span now{};
+  Duration now{};
   std::function<Finding(const Controller&)> judge;
   std::function<void(const std::string&)> told;
   std::string broken;
@@ -194,7 +194,7 @@
     now += 1s;
     for (auto& [name, one] : keepers) {
       if (now < one.at) continue;
-      one.at = Span::max();
+      one.at = Duration::max();
       const bool bad = one.to == "new" ? one.fails : one.fails_back;
       if (bad) {
         one.outcome = one.to == "new" ? "back" : "held";
@@ -268,7 +268,7 @@
     for (const auto& [name, one] : keepers) under_way += one.outcome == "under_way" && one.reachable ? 1 : 0;
     if (under_way > plan.max_concurrent) broken = "more at a time than the plan says";
   }
-  void run(Span until) {
+  void run(Duration until) {
     while (now < until && controller != nullptr && !controller->is_over()) step();
   }
   std::string end() const {
