--- a/src/rig/bent.h
+++ b/src/rig/bent.h
@@ -35,25 +35,25 @@
 class BentClock final : public TimeSource {
  public:
   BentClock();
-  Span steady() const override;
-  Span wall() const override;
-  Span machine_time(Span own) const override;
+  Duration steady() const override;
+  Duration wall() const override;
+  Duration machine_time(Duration own) const override;
 
  private:
   void follow() const;  // a rate that changed counts from now on
   MachineTime machine_;
-  mutable Span machine_then_{}, own_then_{};
+  mutable Duration machine_then_{}, own_then_{};
   mutable double rate_ = 1;
 };
 
 // What was not synced never gets there: the worst that a machine that loses its power may do.
-class BentDisk final : public disk::MachineDisk {
+class BentDisk final : public disk::LocalDisk {
  public:
-  std::unique_ptr<disk::File> create(const std::string& path, unsigned mode) override;
+  std::unique_ptr<disk::File> create_file(const std::string& path, unsigned mode) override;
   void rename(const std::string& from, const std::string& to) override;
-  void make_folder(const std::string& path) override;
-  void link(const std::string& to, const std::string& path) override;
-  void sync_folder(const std::string& path) override;
+  void make_directory(const std::string& path) override;
+  void create_symlink(const std::string& to, const std::string& path) override;
+  void sync_directory(const std::string& path) override;
 };
 
 }  // namespace marbledyke::rig
