--- a/src/emulator/rollouts.h
+++ b/src/emulator/rollouts.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "rollout/conductor.h"
+#include "rollout/controller.h"
 
 namespace marbledyke::emulator {
 
--- a/src/explore/rollout_world.cpp
+++ b/src/explore/rollout_world.cpp
@@ -9,7 +9,7 @@
 
 #include "explore/worlds.h"
 #include "keeper/minder.h"
-#include "rollout/conductor.h"
+#include "rollout/controller.h"
 
 namespace marbledyke::explore {
 namespace {
--- a/src/fleet/configuration.h
+++ b/src/fleet/configuration.h
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "distribution/proposer.h"
-#include "fleet/file.h"
-#include "fleet/talk.h"
+#include "fleet/fleet_file.h"
+#include "fleet/http_client.h"
 
 namespace marbledyke::fleet {
 
--- a/src/fleet/file.cpp
+++ b/src/fleet/fleet_file.cpp
@@ -1,4 +1,4 @@
-#include "fleet/file.h"
+#include "fleet/fleet_file.h"
 
 #include <algorithm>
 #include <set>
--- a/src/fleet/talk.cpp
+++ b/src/fleet/http_client.cpp
@@ -1,4 +1,4 @@
-#include "fleet/talk.h"
+#include "fleet/http_client.h"
 
 #include <cstdlib>
 #include <cstring>
--- a/src/fleet/main.cpp
+++ b/src/fleet/main.cpp
@@ -10,12 +10,12 @@
 
 #include "config/fields.h"
 #include "fleet/configuration.h"
-#include "fleet/file.h"
+#include "fleet/fleet_file.h"
+#include "fleet/http_client.h"
 #include "fleet/rollout.h"
-#include "fleet/talk.h"
 #include "fleet/view.h"
 #include "keeper/orders.h"
-#include "rollout/file.h"
+#include "rollout/plan_file.h"
 
 namespace {
 
--- a/src/fleet/rollout.h
+++ b/src/fleet/rollout.h
@@ -8,10 +8,10 @@
 #include <string>
 
 #include "disk/disk.h"
-#include "fleet/file.h"
-#include "fleet/talk.h"
-#include "rollout/conductor.h"
-#include "rollout/evidence.h"
+#include "fleet/fleet_file.h"
+#include "fleet/http_client.h"
+#include "rollout/controller.h"
+#include "rollout/window_aggregator.h"
 
 namespace marbledyke::fleet {
 
--- a/src/fleet/view.h
+++ b/src/fleet/view.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/file.h"
+#include "fleet/fleet_file.h"
 
 namespace marbledyke::fleet {
 
--- a/src/lab/scale/change_maker.h
+++ b/src/lab/scale/change_maker.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "distribution/proposer.h"
-#include "fleet/talk.h"
+#include "fleet/http_client.h"
 #include "lab/scale/control_plane.h"
 #include "net/loop.h"
 
--- a/src/rollout/conductor.cpp
+++ b/src/rollout/controller.cpp
@@ -1,4 +1,4 @@
-#include "rollout/conductor.h"
+#include "rollout/controller.h"
 
 #include <algorithm>
 
--- a/src/rollout/file.cpp
+++ b/src/rollout/plan_file.cpp
@@ -1,4 +1,4 @@
-#include "rollout/file.h"
+#include "rollout/plan_file.h"
 
 #include <set>
 
--- a/src/rollout/evidence.cpp
+++ b/src/rollout/window_aggregator.cpp
@@ -1,4 +1,4 @@
-#include "rollout/evidence.h"
+#include "rollout/window_aggregator.h"
 
 #include <algorithm>
 
