--- a/src/rollout/controller.cpp
+++ b/src/rollout/controller.cpp
@@ -17,9 +17,10 @@
                                        "swap failed", "passed",  "too little", "goes on", "stop",
                                        "waited out",  "pause",   "resume",     "back",    "all back",
                                        "back failed", "all told"};
-constexpr Duration kOrderResendInterval =
-    5s;  // an order that no report shows after this was not taken, and is given again
-constexpr Duration kReportDelay = 2s;  // a report that is so much later was made after it
+// An order that no report mentions after this time was lost and is sent again.
+constexpr Duration kOrderResendInterval = 5s;
+// A report that arrives this long after an order was sent was made after the keeper had received the order.
+constexpr Duration kReportDelay = 2s;
 constexpr const char* kKeeperStateNames[] = {"old",          "ordered", "on_trial", "confirmed",
                                              "back_ordered", "back",    "held"};
 
@@ -30,13 +31,13 @@
   start_watching,
   start_first_stage,
   start_soak,
-  finish_stage,  // what passed is confirmed; the next stage, or the end
+  finish_stage,  // confirms the keepers of the stage; starts the next stage, or confirms the last one
   start_waiting,
   resume_soak,
   pause,
-  resume,  // where it was paused
+  resume,  // returns to the state in which the rollout was paused
   start_rollback,
-  refuse,  // nothing was changed, nothing goes back
+  refuse,  // ends the rollout before any keeper was changed
   finish
 };
 
@@ -46,206 +47,210 @@
 };
 
 using S = State;
-constexpr Cell stay(S s) { return {Transition::ignore, s}; }
-constexpr Cell never(S s) { return {Transition::impossible, s}; }
+constexpr Cell ignored(S s) { return {Transition::ignore, s}; }
+constexpr Cell impossible(S s) { return {Transition::impossible, s}; }
 
-// start, ready, not_ready, watched, swapped, swap_failed, passed, too_little, goes_on, stop, waited_out,
-// pause, resume, back, all_back, back_failed, all_told
+// Columns: start, keepers_ready, keepers_not_ready, baseline_recorded, stage_swapped, swap_failed,
+// stage_passed, inconclusive, conclusive_again, stop, wait_expired, pause, resume, roll_back,
+// rollback_complete, rollback_failed, all_confirmed
 constexpr Cell kTable[kStateCount][kEventCount] = {
     /* planned */
     {{Transition::start_checking, S::checking},
-     never(S::planned),
-     never(S::planned),
-     never(S::planned),
-     never(S::planned),
-     never(S::planned),
-     never(S::planned),
-     never(S::planned),
-     never(S::planned),
-     stay(S::planned),
-     never(S::planned),
-     stay(S::planned),
-     stay(S::planned),
+     impossible(S::planned),
+     impossible(S::planned),
+     impossible(S::planned),
+     impossible(S::planned),
+     impossible(S::planned),
+     impossible(S::planned),
+     impossible(S::planned),
+     impossible(S::planned),
+     ignored(S::planned),
+     impossible(S::planned),
+     ignored(S::planned),
+     ignored(S::planned),
      {Transition::refuse, S::refused},
-     never(S::planned),
-     never(S::planned),
-     never(S::planned)},
+     impossible(S::planned),
+     impossible(S::planned),
+     impossible(S::planned)},
     /* checking */
-    {stay(S::checking),
+    {ignored(S::checking),
      {Transition::start_watching, S::watching},
      {Transition::refuse, S::refused},
-     never(S::checking),
-     never(S::checking),
-     never(S::checking),
-     never(S::checking),
-     never(S::checking),
-     never(S::checking),
-     stay(S::checking),
-     never(S::checking),
+     impossible(S::checking),
+     impossible(S::checking),
+     impossible(S::checking),
+     impossible(S::checking),
+     impossible(S::checking),
+     impossible(S::checking),
+     ignored(S::checking),
+     impossible(S::checking),
      {Transition::pause, S::paused},
-     stay(S::checking),
+     ignored(S::checking),
      {Transition::refuse, S::refused},
-     never(S::checking),
-     never(S::checking),
-     never(S::checking)},
+     impossible(S::checking),
+     impossible(S::checking),
+     impossible(S::checking)},
     /* watching */
-    {stay(S::watching),
-     never(S::watching),
+    {ignored(S::watching),
+     impossible(S::watching),
      {Transition::refuse, S::refused},
      {Transition::start_first_stage, S::swapping},
-     never(S::watching),
+     impossible(S::watching),
      {Transition::start_rollback, S::returning},
-     never(S::watching),
-     never(S::watching),
-     never(S::watching),
-     stay(S::watching),
-     never(S::watching),
+     impossible(S::watching),
+     impossible(S::watching),
+     impossible(S::watching),
+     ignored(S::watching),
+     impossible(S::watching),
      {Transition::pause, S::paused},
-     stay(S::watching),
+     ignored(S::watching),
      {Transition::refuse, S::refused},
-     never(S::watching),
-     never(S::watching),
-     never(S::watching)},
+     impossible(S::watching),
+     impossible(S::watching),
+     impossible(S::watching)},
     /* swapping */
-    {stay(S::swapping),
-     never(S::swapping),
-     never(S::swapping),
-     never(S::swapping),
+    {ignored(S::swapping),
+     impossible(S::swapping),
+     impossible(S::swapping),
+     impossible(S::swapping),
      {Transition::start_soak, S::soaking},
      {Transition::start_rollback, S::returning},
-     stay(S::swapping),
-     stay(S::swapping),
-     stay(S::swapping),
+     ignored(S::swapping),
+     ignored(S::swapping),
+     ignored(S::swapping),
      {Transition::start_rollback, S::returning},
      {Transition::start_rollback, S::returning},
      {Transition::pause, S::paused},
-     stay(S::swapping),
+     ignored(S::swapping),
      {Transition::start_rollback, S::returning},
-     never(S::swapping),
-     never(S::swapping),
-     never(S::swapping)},
+     impossible(S::swapping),
+     impossible(S::swapping),
+     impossible(S::swapping)},
     /* soaking */
-    {stay(S::soaking),
-     never(S::soaking),
-     never(S::soaking),
-     never(S::soaking),
-     never(S::soaking),
+    {ignored(S::soaking),
+     impossible(S::soaking),
+     impossible(S::soaking),
+     impossible(S::soaking),
+     impossible(S::soaking),
      {Transition::start_rollback, S::returning},
      {Transition::finish_stage, S::swapping},
      {Transition::start_waiting, S::waiting},
-     stay(S::soaking),
+     ignored(S::soaking),
      {Transition::start_rollback, S::returning},
-     never(S::soaking),
+     impossible(S::soaking),
      {Transition::pause, S::paused},
-     stay(S::soaking),
+     ignored(S::soaking),
      {Transition::start_rollback, S::returning},
-     never(S::soaking),
-     never(S::soaking),
-     never(S::soaking)},
+     impossible(S::soaking),
+     impossible(S::soaking),
+     impossible(S::soaking)},
     /* waiting */
-    {stay(S::waiting),
-     never(S::waiting),
-     never(S::waiting),
-     never(S::waiting),
-     never(S::waiting),
+    {ignored(S::waiting),
+     impossible(S::waiting),
+     impossible(S::waiting),
+     impossible(S::waiting),
+     impossible(S::waiting),
      {Transition::start_rollback, S::returning},
      {Transition::finish_stage, S::swapping},
-     stay(S::waiting),
+     ignored(S::waiting),
      {Transition::resume_soak, S::soaking},
      {Transition::start_rollback, S::returning},
      {Transition::start_rollback, S::returning},
      {Transition::pause, S::paused},
-     stay(S::waiting),
+     ignored(S::waiting),
      {Transition::start_rollback, S::returning},
-     never(S::waiting),
-     never(S::waiting),
-     never(S::waiting)},
-    /* paused: what is worse goes back all the same */
-    {stay(S::paused),
-     stay(S::paused),
+     impossible(S::waiting),
+     impossible(S::waiting),
+     impossible(S::waiting)},
+    /* paused: a stop by the judge rolls back nevertheless */
+    {ignored(S::paused),
+     ignored(S::paused),
      {Transition::refuse, S::refused},
-     stay(S::paused),
-     stay(S::paused),
+     ignored(S::paused),
+     ignored(S::paused),
      {Transition::start_rollback, S::returning},
-     stay(S::paused),
-     stay(S::paused),
-     stay(S::paused),
+     ignored(S::paused),
+     ignored(S::paused),
+     ignored(S::paused),
      {Transition::start_rollback, S::returning},
-     never(S::paused),
-     stay(S::paused),
+     impossible(S::paused),
+     ignored(S::paused),
      {Transition::resume, S::paused},
      {Transition::start_rollback, S::returning},
-     never(S::paused),
-     never(S::paused),
-     never(S::paused)},
-    /* confirming: nothing is judged any more */
-    {stay(S::confirming),
-     never(S::confirming),
-     never(S::confirming),
-     never(S::confirming),
-     never(S::confirming),
+     impossible(S::paused),
+     impossible(S::paused),
+     impossible(S::paused)},
+    /* confirming: findings have no effect */
+    {ignored(S::confirming),
+     impossible(S::confirming),
+     impossible(S::confirming),
+     impossible(S::confirming),
+     impossible(S::confirming),
      {Transition::start_rollback, S::returning},
-     stay(S::confirming),
-     stay(S::confirming),
-     stay(S::confirming),
-     stay(S::confirming),
+     ignored(S::confirming),
+     ignored(S::confirming),
+     ignored(S::confirming),
+     ignored(S::confirming),
      {Transition::finish, S::held},
-     stay(S::confirming),
-     stay(S::confirming),
+     ignored(S::confirming),
+     ignored(S::confirming),
      {Transition::start_rollback, S::returning},
-     never(S::confirming),
-     never(S::confirming),
+     impossible(S::confirming),
+     impossible(S::confirming),
      {Transition::finish, S::done}},
     /* returning */
-    {stay(S::returning),
-     never(S::returning),
-     never(S::returning),
-     never(S::returning),
-     never(S::returning),
-     stay(S::returning),
-     stay(S::returning),
-     stay(S::returning),
-     stay(S::returning),
-     stay(S::returning),
-     never(S::returning),
-     stay(S::returning),
-     stay(S::returning),
-     stay(S::returning),
+    {ignored(S::returning),
+     impossible(S::returning),
+     impossible(S::returning),
+     impossible(S::returning),
+     impossible(S::returning),
+     ignored(S::returning),
+     ignored(S::returning),
+     ignored(S::returning),
+     ignored(S::returning),
+     ignored(S::returning),
+     impossible(S::returning),
+     ignored(S::returning),
+     ignored(S::returning),
+     ignored(S::returning),
      {Transition::finish, S::returned},
      {Transition::finish, S::held},
-     never(S::returning)},
+     impossible(S::returning)},
     /* done */
-    {stay(S::done), never(S::done), never(S::done), never(S::done), never(S::done), stay(S::done),
-     stay(S::done), stay(S::done), stay(S::done), stay(S::done), never(S::done), stay(S::done), stay(S::done),
-     stay(S::done), never(S::done), never(S::done), never(S::done)},
+    {ignored(S::done), impossible(S::done), impossible(S::done), impossible(S::done), impossible(S::done),
+     ignored(S::done), ignored(S::done), ignored(S::done), ignored(S::done), ignored(S::done),
+     impossible(S::done), ignored(S::done), ignored(S::done), ignored(S::done), impossible(S::done),
+     impossible(S::done), impossible(S::done)},
     /* returned */
-    {stay(S::returned), never(S::returned), never(S::returned), never(S::returned), never(S::returned),
-     stay(S::returned), stay(S::returned), stay(S::returned), stay(S::returned), stay(S::returned),
-     never(S::returned), stay(S::returned), stay(S::returned), stay(S::returned), never(S::returned),
-     never(S::returned), never(S::returned)},
-    /* held: a person may have it try again */
-    {stay(S::held),
-     never(S::held),
-     never(S::held),
-     never(S::held),
-     never(S::held),
-     stay(S::held),
-     stay(S::held),
-     stay(S::held),
-     stay(S::held),
-     stay(S::held),
-     never(S::held),
-     stay(S::held),
-     stay(S::held),
+    {ignored(S::returned), impossible(S::returned), impossible(S::returned), impossible(S::returned),
+     impossible(S::returned), ignored(S::returned), ignored(S::returned), ignored(S::returned),
+     ignored(S::returned), ignored(S::returned), impossible(S::returned), ignored(S::returned),
+     ignored(S::returned), ignored(S::returned), impossible(S::returned), impossible(S::returned),
+     impossible(S::returned)},
+    /* held: an operator may start the rollback again */
+    {ignored(S::held),
+     impossible(S::held),
+     impossible(S::held),
+     impossible(S::held),
+     impossible(S::held),
+     ignored(S::held),
+     ignored(S::held),
+     ignored(S::held),
+     ignored(S::held),
+     ignored(S::held),
+     impossible(S::held),
+     ignored(S::held),
+     ignored(S::held),
      {Transition::start_rollback, S::returning},
-     never(S::held),
-     never(S::held),
-     never(S::held)},
+     impossible(S::held),
+     impossible(S::held),
+     impossible(S::held)},
     /* refused */
-    {stay(S::refused), never(S::refused), never(S::refused), never(S::refused), never(S::refused),
-     stay(S::refused), stay(S::refused), stay(S::refused), stay(S::refused), stay(S::refused),
-     never(S::refused), stay(S::refused), stay(S::refused), stay(S::refused), never(S::refused),
-     never(S::refused), never(S::refused)}};
+    {ignored(S::refused), impossible(S::refused), impossible(S::refused), impossible(S::refused),
+     impossible(S::refused), ignored(S::refused), ignored(S::refused), ignored(S::refused),
+     ignored(S::refused), ignored(S::refused), impossible(S::refused), ignored(S::refused),
+     ignored(S::refused), ignored(S::refused), impossible(S::refused), impossible(S::refused),
+     impossible(S::refused)}};
 
 template <typename E>
 constexpr std::size_t index_of(E e) {
@@ -273,8 +278,8 @@
   json keepers = json::object();
   for (const auto& [name, at] : saved.keepers) {
     keepers[name] = {{"at", name_of(at)}};
-    const auto former = saved.previous_versions.find(name);
-    if (former != saved.previous_versions.end()) keepers[name]["former"] = former->second;
+    const auto previous = saved.previous_versions.find(name);
+    if (previous != saved.previous_versions.end()) keepers[name]["former"] = previous->second;
   }
   return {{"state", name_of(saved.state)}, {"stage", saved.stage},
           {"epoch", saved.epoch},          {"why", saved.reason},
@@ -298,7 +303,7 @@
   for (const auto& [name, one] : config::object(from, "keepers").items()) {
     const std::string& at = config::text(one, "at");
     const auto found = std::find(std::begin(kKeeperStateNames), std::end(kKeeperStateNames), at);
-    if (found == std::end(kKeeperStateNames)) throw config::BadInput("at: not a place: " + at);
+    if (found == std::end(kKeeperStateNames)) throw config::BadInput("at: not a keeper state: " + at);
     out.keepers[name] = static_cast<KeeperState>(found - std::begin(kKeeperStateNames));
     if (one.contains("former")) out.previous_versions[name] = config::text(one, "former");
   }
@@ -321,7 +326,7 @@
     saved_.keepers.try_emplace(member.name, KeeperState::old);
     last_report_at_[member.name] = now;
   }
-  // What the former conductor had ordered counts from now; what it had let soak soaks anew.
+  // The time limits of the predecessor's orders start again, and so does the soak time.
   for (const auto& [name, at] : saved_.keepers) {
     if (at == KeeperState::ordered || at == KeeperState::back_ordered) ordered_at_[name] = now;
     if (at == KeeperState::on_trial || at == KeeperState::confirmed) changed_at_[name] = now;
@@ -364,8 +369,8 @@
 
 std::string Controller::fingerprint(Duration horizon) const {
   std::string out = name_of(saved_.state);
-  const auto say = [&](const auto& value) { out += ' ' + std::to_string(value); };
-  const auto age = [&](Duration when) { say(std::min((now_ - when) / 1ms, horizon / 1ms)); };
+  const auto append = [&](const auto& value) { out += ' ' + std::to_string(value); };
+  const auto age = [&](Duration when) { append(std::min((now_ - when) / 1ms, horizon / 1ms)); };
   const auto ages = [&](const std::map<std::string, Duration>& of) {
     for (const auto& [name, when] : of) {
       out += ' ' + name;
@@ -374,10 +379,10 @@
     out += ';';
   };
   out += std::string(" from ") + name_of(saved_.paused_from);
-  say(saved_.stage);
-  say(saved_.epoch);
+  append(saved_.stage);
+  append(saved_.epoch);
   for (const auto& [name, at] : saved_.keepers) out += ' ' + name + ' ' + name_of(at);
-  for (const auto& [name, former] : saved_.previous_versions) out += ' ' + name + ' ' + former;
+  for (const auto& [name, previous] : saved_.previous_versions) out += ' ' + name + ' ' + previous;
   age(state_since_);
   age(soak_since_);
   age(wait_since_);
@@ -388,26 +393,26 @@
   for (const auto* numbers : {&use_order_numbers_, &rollback_order_numbers_}) {
     for (const auto& [name, number] : *numbers) {
       out += ' ' + name;
-      say(number);
+      append(number);
     }
     out += ';';
   }
-  // Of these only which came later counts.
+  // Of these only the order in time has an effect.
   std::vector<std::pair<Duration, std::string>> changed;
   for (const auto& [name, when] : changed_at_) changed.emplace_back(when, name);
   std::sort(changed.begin(), changed.end());
   for (const auto& [when, name] : changed) out += ' ' + name;
   for (const auto& [name, report] : reports_) {
     out += "; " + name + ' ' + report.active_version + ' ' + report.previous_version + ' ' + report.outcome;
-    say(report.order_epoch);
-    say(report.order_number);
-    say(static_cast<int>(report.verification));
-    say(report.has_version + 2 * report.is_serving + 4 * report.gave_up);
+    append(report.order_epoch);
+    append(report.order_number);
+    append(static_cast<int>(report.verification));
+    append(report.has_version + 2 * report.is_serving + 4 * report.gave_up);
   }
   for (const auto& [name, order] : last_orders_) {
     out += ' ' + name;
-    say(order.first);
-    say(order.second);
+    append(order.first);
+    append(order.second);
   }
   for (const Action& action : actions_)
     out += "; act " + std::to_string(static_cast<int>(action.kind)) + ' ' + action.keeper;
@@ -425,8 +430,7 @@
 
 void Controller::on_report(const std::string& keeper, const KeeperReport& report) {
   if (!saved_.keepers.contains(keeper)) return;
-  // What it said before it took the last order that it is known to have taken comes late, and is true no
-  // more.
+  // A report that the keeper made before it took the last order that it is known to have taken is outdated.
   const auto before = reports_.find(keeper);
   if (before != reports_.end() && before->second.keeper_started_ms == report.keeper_started_ms &&
       std::pair(report.order_epoch, report.order_number) <
@@ -436,14 +440,15 @@
   reports_[keeper] = report;
   last_orders_[keeper] = {report.order_epoch, report.order_number};
   KeeperState& at = saved_.keepers[keeper];
-  const bool has = report.active_version == plan_.version;
+  const bool has_new_version = report.active_version == plan_.version;
   const bool failed = report.outcome == "back" || report.outcome == "held" || report.outcome == "refused";
   switch (at) {
     case KeeperState::old:
     case KeeperState::back:
-      // An order of a former conductor was on its way, and has been taken: it counts as this one's from now
-      // on.
-      if (!has || saved_.state == State::checking || saved_.state == State::planned || is_over()) return;
+      // The keeper has taken an order of a previous controller that was still in flight. It is treated like
+      // an order of this controller.
+      if (!has_new_version || saved_.state == State::checking || saved_.state == State::planned || is_over())
+        return;
       if (is_idle(report)) {
         at = report.outcome == "on_trial" ? KeeperState::on_trial : KeeperState::confirmed;
         changed_at_[keeper] = now_;
@@ -451,12 +456,13 @@
         at = KeeperState::ordered;
         ordered_at_[keeper] = now_;
       }
-      queue_action(Action::Kind::log, {}, keeper + " has taken an order of a former conductor");
+      queue_action(Action::Kind::log, {}, keeper + " has taken an order of a previous controller");
       return queue_action(Action::Kind::save_state);
     case KeeperState::held:
       return;
     case KeeperState::ordered:
-      if (has && (report.outcome == "on_trial" || report.outcome == "done") && report.is_serving) {
+      if (has_new_version && (report.outcome == "on_trial" || report.outcome == "done") &&
+          report.is_serving) {
         at = report.outcome == "done" ? KeeperState::confirmed : KeeperState::on_trial;
         changed_at_[keeper] = now_;
         ordered_at_.erase(keeper);
@@ -471,23 +477,24 @@
       return;
     case KeeperState::on_trial:
     case KeeperState::confirmed:
-      if (has && !report.gave_up && report.outcome != "held") {
+      if (has_new_version && !report.gave_up && report.outcome != "held") {
         if (at == KeeperState::on_trial && report.outcome == "done") {
           at = KeeperState::confirmed;
           queue_action(Action::Kind::save_state);
         }
         return;
       }
-      // It went back by itself: it was not sound, or nobody confirmed it in time.
+      // The keeper rolled back by itself: the new version failed, or its trial ended without a confirmation.
       changed_at_.erase(keeper);
       at = report.outcome == "held" || report.gave_up ? KeeperState::held : KeeperState::back;
       queue_action(Action::Kind::save_state);
-      return on_event(Event::swap_failed, keeper + " went back by itself: " + report.reason);
+      return on_event(Event::swap_failed, keeper + " rolled back by itself: " + report.reason);
     case KeeperState::back_ordered:
-      // What it said before the order came says nothing of it.
+      // A report made before the order arrived says nothing of the order.
       if (now_ - ordered_at_[keeper] < kReportDelay) return;
-      // Nor does its being where it was before: an order to change that is on its way still would be taken.
-      // Only the order back, once taken, fences that by its number.
+      // The previous version being active proves nothing either: the keeper would still take an order to
+      // change that is in flight. Only when it has taken the order to roll back does that order's number
+      // fence the earlier one.
       if (!rollback_order_numbers_.contains(keeper) || report.order_epoch != saved_.epoch ||
           report.order_number < rollback_order_numbers_[keeper])
         return;
@@ -506,7 +513,8 @@
   }
 }
 
-void Controller::on_unreachable(const std::string&) {}  // how long ago it was heard is known
+// Nothing to record: the time of the keeper's last report is known.
+void Controller::on_unreachable(const std::string&) {}
 
 void Controller::on_finding(const Finding& finding) {
   last_finding_ = finding.description;
@@ -544,20 +552,22 @@
       bool all = true;
       for (const Member& member : members_) {
         const auto report = reports_.find(member.name);
-        const bool there =
+        const bool is_ready =
             report != reports_.end() && report->second.has_version && is_idle(report->second) &&
             report->second.is_serving &&
             (report->second.outcome != "on_trial" || report->second.active_version == plan_.version);
-        const bool untried = plan_.verify_first && there && report->second.active_version != plan_.version &&
-                             report->second.verification != KeeperReport::Verification::passed;
-        if (untried && report->second.verification == KeeperReport::Verification::failed)
-          return on_event(Event::keepers_not_ready, member.name + " has tried it: " + report->second.reason);
-        if (untried &&
+        const bool is_unverified = plan_.verify_first && is_ready &&
+                                   report->second.active_version != plan_.version &&
+                                   report->second.verification != KeeperReport::Verification::passed;
+        if (is_unverified && report->second.verification == KeeperReport::Verification::failed)
+          return on_event(Event::keepers_not_ready,
+                          member.name + " failed to verify it: " + report->second.reason);
+        if (is_unverified &&
             (!resent_at_.contains(member.name) || now_ - resent_at_[member.name] >= kOrderResendInterval)) {
           resent_at_[member.name] = now_;
           queue_action(Action::Kind::verify, member.name);
         }
-        all = all && there && !untried;
+        all = all && is_ready && !is_unverified;
         if (report != reports_.end() && !report->second.has_version && !plan_.source_folder.empty() &&
             is_idle(report->second) && !ordered_at_.contains(member.name)) {
           ordered_at_[member.name] = now_;
@@ -571,22 +581,22 @@
         return on_event(Event::keepers_ready);
       }
       if (now_ - state_since_ >= plan_.swap_timeout) {
-        std::string who;
+        std::string names;
         for (const Member& member : members_) {
           const auto report = reports_.find(member.name);
           if (report == reports_.end()) {
-            who += " " + member.name + " (not reached)";
+            names += " " + member.name + " (not reached)";
           } else if (!report->second.has_version) {
-            who +=
+            names +=
                 " " + member.name + " (does not have " + plan_.version + ": " + report->second.reason + ")";
           } else if (plan_.verify_first && report->second.verification == KeeperReport::Verification::none &&
                      report->second.active_version != plan_.version) {
-            who += " " + member.name + " (has not tried it)";
+            names += " " + member.name + " (has not verified it)";
           } else if (!report->second.is_serving || !is_idle(report->second)) {
-            who += " " + member.name + " (does not serve, or an order is under way)";
+            names += " " + member.name + " (does not serve, or an order is under way)";
           }
         }
-        on_event(Event::keepers_not_ready, "not ready:" + who);
+        on_event(Event::keepers_not_ready, "not ready:" + names);
       }
       return;
     }
@@ -597,16 +607,17 @@
       return check_swap_progress();
     case State::waiting:
       if (now_ - wait_since_ >= plan_.max_wait)
-        on_event(Event::wait_expired, "waited too long: " + last_finding_);
+        on_event(Event::wait_expired, "wait expired: " + last_finding_);
       return;
     case State::confirming: {
-      const std::vector<std::string> untold = keepers_in(KeeperState::on_trial);
-      if (untold.empty()) return on_event(Event::all_confirmed);
+      const std::vector<std::string> unconfirmed = keepers_in(KeeperState::on_trial);
+      if (unconfirmed.empty()) return on_event(Event::all_confirmed);
       if (now_ - state_since_ < plan_.max_wait) return;
-      std::string who;
-      for (const std::string& name : untold) who += " " + name;
-      return on_event(Event::wait_expired, "passed, but not confirmed at" + who +
-                                               ": confirm it there by hand, or it takes it back");
+      std::string names;
+      for (const std::string& name : unconfirmed) names += " " + name;
+      return on_event(Event::wait_expired,
+                      "passed, but not confirmed at" + names +
+                          ": confirm the version there by hand, or the keeper rolls it back");
     }
     case State::returning:
       return order_next_rollbacks();
@@ -615,29 +626,30 @@
   }
 }
 
-// One that has the version already was changed by a conductor whose memory this one has not: it is not
-// changed again, and what it goes back to is what its keeper says.
+// A keeper that runs the new version already was changed by a controller whose saved state is not available.
+// It is not changed again, and the version to roll back to is the one that its report names.
 void Controller::adopt_keeper(const std::string& name, const KeeperReport& report) {
-  const bool has = report.active_version == plan_.version;
-  saved_.previous_versions[name] = has ? report.previous_version : report.active_version;
-  if (!has) return;
+  const bool has_new_version = report.active_version == plan_.version;
+  saved_.previous_versions[name] = has_new_version ? report.previous_version : report.active_version;
+  if (!has_new_version) return;
   saved_.keepers[name] = report.outcome == "on_trial" ? KeeperState::on_trial : KeeperState::confirmed;
   changed_at_[name] = now_;
 }
 
 void Controller::check_swap_progress() {
-  const std::vector<std::string>& its = stages_[static_cast<std::size_t>(saved_.stage)];
-  const bool all = std::all_of(its.begin(), its.end(), [&](const std::string& name) {
+  const std::vector<std::string>& keepers = stages_[static_cast<std::size_t>(saved_.stage)];
+  const bool all = std::all_of(keepers.begin(), keepers.end(), [&](const std::string& name) {
     return saved_.keepers[name] == KeeperState::on_trial || saved_.keepers[name] == KeeperState::confirmed;
   });
   if (all) return on_event(Event::stage_swapped);
   for (const auto& [name, when] : ordered_at_) {
-    // One that cannot be reached may be on its way; one that can and says nothing of it is not.
-    const bool silent = now_ - last_report_at_[name] > plan_.swap_timeout / 2;
-    if (now_ - when >= (silent ? plan_.max_wait : plan_.swap_timeout))
-      return on_event(Event::swap_failed, name + " did not carry it out in time");
+    // A keeper that cannot be reached may be carrying out the order; one that reports without it is not.
+    const bool is_unreachable = now_ - last_report_at_[name] > plan_.swap_timeout / 2;
+    if (now_ - when >= (is_unreachable ? plan_.max_wait : plan_.swap_timeout))
+      return on_event(Event::swap_failed, name + " did not carry out its order in time");
   }
-  // What no report shows was not taken: the same order again. Whoever has taken it says so and does nothing.
+  // An order that no report mentions was lost and is sent again. A keeper that has taken it all the same
+  // answers so and does nothing.
   for (const std::string& name : keepers_in(KeeperState::ordered)) {
     const auto report = reports_.find(name);
     if (report == reports_.end() || now_ - last_report_at_[name] > kOrderResendInterval ||
@@ -654,87 +666,91 @@
 
 void Controller::order_next_swaps() {
   int under_way = static_cast<int>(keepers_in(KeeperState::ordered).size());
-  std::vector<std::string> now_ordered;
+  std::vector<std::string> to_order;
   for (const std::string& name : stages_[static_cast<std::size_t>(saved_.stage)]) {
     if (under_way >= plan_.max_concurrent) break;
     if (saved_.keepers[name] != KeeperState::old) continue;
-    // Not to one that cannot be heard: what becomes of it could not be seen.
+    // An unreachable keeper is not ordered: the result could not be observed.
     if (now_ - last_report_at_[name] > 5s) continue;
     saved_.keepers[name] = KeeperState::ordered;
     ordered_at_[name] = now_;
-    now_ordered.push_back(name);
+    to_order.push_back(name);
     ++under_way;
   }
-  if (now_ordered.empty()) return;
-  queue_action(Action::Kind::save_state);  // written down before it is ordered: a successor looks there first
-  for (const std::string& name : now_ordered) queue_action(Action::Kind::use, name);
+  if (to_order.empty()) return;
+  // Saved before the orders are sent, since a successor goes by the saved state.
+  queue_action(Action::Kind::save_state);
+  for (const std::string& name : to_order) queue_action(Action::Kind::use, name);
 }
 
-// The newest first: what was changed last has shown least. At most as many at a time as on the way there.
+// Rolls back the most recently changed keepers first, since the least is known of them; at most as many at a
+// time as when changing.
 void Controller::order_next_rollbacks() {
-  // An order that was given a moment ago may be on its way still; what its keeper said before says nothing of
-  // it.
-  const auto settled = [&](const std::string& name) {
+  // An order that was just sent may be in flight; an earlier report of the keeper says nothing of it.
+  const auto is_settled = [&](const std::string& name) {
     const auto report = reports_.find(name);
     return report != reports_.end() && is_idle(report->second) &&
            now_ - ordered_at_[name] >= kOrderResendInterval;
   };
   int under_way = 0;
-  for (const std::string& name : keepers_in(KeeperState::back_ordered)) under_way += settled(name) ? 0 : 1;
-  for (const std::string& name : keepers_in(KeeperState::ordered)) under_way += settled(name) ? 0 : 1;
-  bool open = !keepers_in(KeeperState::back_ordered).empty() || !keepers_in(KeeperState::ordered).empty(),
+  for (const std::string& name : keepers_in(KeeperState::back_ordered)) under_way += is_settled(name) ? 0 : 1;
+  for (const std::string& name : keepers_in(KeeperState::ordered)) under_way += is_settled(name) ? 0 : 1;
+  bool unfinished =
+           !keepers_in(KeeperState::back_ordered).empty() || !keepers_in(KeeperState::ordered).empty(),
        failed = !keepers_in(KeeperState::held).empty();
   std::vector<std::pair<Duration, std::string>> left;
   for (const auto& [name, at] : saved_.keepers) {
     if (at == KeeperState::on_trial || at == KeeperState::confirmed ||
-        ((at == KeeperState::ordered || at == KeeperState::back_ordered) && settled(name)))
+        ((at == KeeperState::ordered || at == KeeperState::back_ordered) && is_settled(name)))
       left.emplace_back(changed_at_.contains(name) ? changed_at_.at(name) : now_, name);
   }
   std::sort(left.rbegin(), left.rend());
-  std::vector<std::string> now_ordered;
+  std::vector<std::string> to_order;
   for (const auto& [since, name] : left) {
-    open = true;
-    // One that is being changed is at rest soon; its keeper refuses until then. One that was ordered and did
-    // not change is ordered back all the same: by its number that fences the order that may be on its way.
+    unfinished = true;
+    // A keeper that is being changed refuses further orders until it is idle again. One that was ordered to
+    // change and did not is nevertheless ordered to roll back: the number of that order fences the order to
+    // change, which may still be in flight.
     const auto report = reports_.find(name);
     if (under_way >= plan_.max_concurrent || report == reports_.end() || !is_idle(report->second)) continue;
     if (!rollback_started_at_.contains(name)) rollback_started_at_[name] = now_;
-    if (saved_.previous_versions[name].empty()) {  // nobody knows what it had before
+    if (saved_.previous_versions[name].empty()) {  // the version to roll back to is unknown
       saved_.keepers[name] = KeeperState::held;
       failed = true;
       continue;
     }
     saved_.keepers[name] = KeeperState::back_ordered;
     ordered_at_[name] = now_;
-    now_ordered.push_back(name);
+    to_order.push_back(name);
     ++under_way;
   }
-  if (!now_ordered.empty()) queue_action(Action::Kind::save_state);
-  for (const std::string& name : now_ordered) queue_action(Action::Kind::roll_back, name);
+  if (!to_order.empty()) queue_action(Action::Kind::save_state);
+  for (const std::string& name : to_order) queue_action(Action::Kind::roll_back, name);
   for (const auto& [name, when] : rollback_started_at_) {
     if (now_ - when < plan_.max_wait || saved_.keepers[name] == KeeperState::back) continue;
     saved_.keepers[name] = KeeperState::held;
     failed = true;
   }
-  // One that was ordered and cannot be heard at all.
+  // A keeper that was ordered to change and has been unreachable since.
   for (const std::string& name : keepers_in(KeeperState::ordered)) {
     if (now_ - std::max(state_since_, last_report_at_[name]) < plan_.max_wait) continue;
     saved_.keepers[name] = KeeperState::held;
     failed = true;
   }
-  if (open && keepers_in(KeeperState::held).empty()) return;
-  if (open) {
-    // Some can still go back; those that cannot are left to a person once all others are.
+  if (unfinished && keepers_in(KeeperState::held).empty()) return;
+  if (unfinished) {
+    // Some keepers can still be rolled back; those that failed are left to an operator once all others are
+    // done.
     const bool any = !keepers_in(KeeperState::back_ordered).empty() ||
                      !keepers_in(KeeperState::on_trial).empty() ||
                      !keepers_in(KeeperState::confirmed).empty() || !keepers_in(KeeperState::ordered).empty();
     if (any) return;
   }
   if (failed) {
-    std::string who;
-    for (const std::string& name : keepers_in(KeeperState::held)) who += " " + name;
+    std::string names;
+    for (const std::string& name : keepers_in(KeeperState::held)) names += " " + name;
     return on_event(Event::rollback_failed,
-                    "the way back failed at" + who + "; bring a sound version in force there by hand");
+                    "rollback failed at" + names + "; change to a sound version there by hand");
   }
   on_event(Event::rollback_complete);
 }
@@ -747,8 +763,8 @@
   }
 }
 
-// A confirmation that no report shows was lost: its keeper would take back, when its trial is over, what has
-// passed.
+// A confirmation that no report mentions was lost. Without it the keeper would roll back, at the end of its
+// trial, a version that has passed.
 void Controller::resend_confirmations() {
   const bool under_way = saved_.state == State::swapping || saved_.state == State::soaking ||
                          saved_.state == State::waiting || saved_.state == State::confirming;
@@ -797,7 +813,7 @@
       queue_action(Action::Kind::start_comparison);
       break;
     case Transition::finish_stage:
-      saved_.reason.clear();  // of a wait that is over
+      saved_.reason.clear();  // the reason for a wait that is over
       confirm_stage();
       if (saved_.stage + 1 >= static_cast<int>(plan_.stages.size())) {
         saved_.state = State::confirming;
@@ -819,7 +835,7 @@
       break;
     case Transition::start_rollback:
       for (const std::string& name : keepers_in(KeeperState::held)) {
-        if (from == State::held) saved_.keepers[name] = KeeperState::on_trial;  // tried once more
+        if (from == State::held) saved_.keepers[name] = KeeperState::on_trial;  // is rolled back once more
       }
       rollback_started_at_.clear();
       rollback_order_numbers_.clear();
--- a/src/rollout/judge.cpp
+++ b/src/rollout/judge.cpp
@@ -11,21 +11,22 @@
 
 using namespace std::chrono_literals;
 
-constexpr double kWarmUpGrowthBytes = 16e6;  // bytes that a process grows by beyond what the old ones do
+// Within its first minutes a process may grow by this much beyond the old version's processes.
+constexpr double kWarmUpGrowthBytes = 16e6;
 constexpr const char* kMeasureNames[] = {"good", "failed", "pushed back", "slow", "further sends", "CPU"};
 constexpr const char* kVerdictNames[] = {"going",   "passed", "too little to tell", "worse", "harm",
                                          "trouble", "at once"};
-constexpr double kMixtureBlocks = 8;   // blocks at which the mixture is at its best
-constexpr double kMinTotalBlocks = 8;  // before and since, until a test says anything
-// And so many since: the mean of fewer is fitted to them, so that a cluster alone would scatter by nothing
-// (with 1 a fifth of sound rollouts was stopped).
+constexpr double kMixtureBlocks = 8;   // number of blocks at which the mixture is most sensitive
+constexpr double kMinTotalBlocks = 8;  // baseline and comparison together, before a test has a result
+// The mean of fewer comparison blocks is fitted to them too closely: the blocks of a single cluster of
+// failures would show no variance. With 1 a fifth of sound rollouts was stopped.
 constexpr double kMinComparisonBlocks = 4;
 constexpr double kMinVariance = 1e-7;
 constexpr double kMaxLogRatio = 700;
-constexpr std::size_t kRecentBlocks = 6;  // blocks that the whole fleet is held against its past by
-constexpr int kMinBaselineBlocks = 4;     // blocks
-constexpr double kBaselineErrorProbability =
-    0.1;  // that what was different before lies outside what is taken off, either way
+constexpr std::size_t kRecentBlocks = 6;  // number of blocks compared with the whole fleet's baseline
+constexpr int kMinBaselineBlocks = 4;
+// Probability that the baseline's difference lies outside the range that is subtracted, on either side.
+constexpr double kBaselineErrorProbability = 0.1;
 constexpr std::uint64_t kMinLatencySamples = 200;
 
 }  // namespace
@@ -33,11 +34,9 @@
 const char* name_of(Measure measure) { return kMeasureNames[static_cast<std::size_t>(measure)]; }
 const char* name_of(Verdict verdict) { return kVerdictNames[static_cast<std::size_t>(verdict)]; }
 
-// ---- sides ----
-
 void Side::add(const totals::Count& c, Duration slow_from) {
   received += c.taken;
-  completed += c.ended() - c.left;  // a client that leaves says nothing of the gatherer
+  completed += c.ended() - c.left;  // a client that left early is no failure of the gatherer
   good += c.in_budget;
   failed += c.failed;
   pushed_back += c.pushed_back;
@@ -83,8 +82,6 @@
   return std::nullopt;
 }
 
-// ---- a sequence ----
-
 void SequentialTest::observe(double difference) {
   count_ += 1;
   sum_ += difference;
@@ -93,7 +90,8 @@
 
 double SequentialTest::block_variance() const {
   const double own = count_ > 0 ? std::max(squares_ - sum_ * sum_ / count_, 0.0) : 0;
-  // The mean of either is fitted, which costs a degree of freedom each; a little is added for what is rare.
+  // Both means are estimated, which costs one degree of freedom each. The minimum keeps rare events, which
+  // the blocks may not contain yet, from looking certain.
   const double freedom = std::max(prior_blocks_ - 1, 0.0) + std::max(count_ - 1, 0.0);
   return freedom > 0 ? (own + prior_squares_) / freedom + kMinVariance : 1;
 }
@@ -122,11 +120,9 @@
   return std::nullopt;
 }
 
-// ---- the judge ----
-
 Judge::Judge(const Limits& limits, int tests) : limits_(limits), max_comparisons_(std::max(tests, 1)) {}
 
-// Above 0 is worse, whichever the measure.
+// Positive values are worse for every measure.
 double Judge::difference(Measure measure, double old_share, double new_share) {
   if (measure == Measure::good) return old_share - new_share;
   if (measure == Measure::cpu) return std::clamp(std::log2(new_share / old_share), -1.0, 1.0);
@@ -145,8 +141,8 @@
   return out;
 }
 
-void Judge::add_baseline_block(const Block& plain) {
-  const Block block = with_totals(plain);
+void Judge::add_baseline_block(const Block& strata) {
+  const Block block = with_totals(strata);
   for (const auto& [stratum, sides] : block) {
     for (int i = 0; i < kMeasureCount; ++i) {
       const auto measure = static_cast<Measure>(i);
@@ -163,7 +159,7 @@
       base.squares += d * d;
     }
   }
-  const auto note = [&](const Side& side, Baseline& base) {
+  const auto add_good_share = [&](const Side& side, Baseline& base) {
     if (const auto share = side.ratio(Measure::good, limits_.min_multigets)) {
       base.count += 1;
       base.sum += *share;
@@ -172,8 +168,8 @@
   };
   const auto all = block.find({"all", "all"});
   if (all == block.end()) return;
-  note(all->second.first, good_before_old_);
-  note(all->second.second, good_before_new_);
+  add_good_share(all->second.first, good_before_old_);
+  add_good_share(all->second.second, good_before_new_);
 }
 
 void Judge::add_baseline_latencies(const std::string& op_type, const totals::Latencies& latencies) {
@@ -186,8 +182,8 @@
   return at->second.at(0.9);
 }
 
-void Judge::add_comparison_block(const Block& plain) {
-  const Block block = with_totals(plain);
+void Judge::add_comparison_block(const Block& strata) {
+  const Block block = with_totals(strata);
   const auto all = block.find({"all", "all"});
   if (all == block.end()) return;
   const auto good_old = all->second.first.ratio(Measure::good, limits_.min_multigets);
@@ -196,8 +192,8 @@
   if (good_old || good_new)
     recent_good_shares_.emplace_back(good_old ? *good_old : *good_new, good_new ? *good_new : *good_old);
   if (recent_good_shares_.size() > kRecentBlocks) recent_good_shares_.erase(recent_good_shares_.begin());
-  // What strikes old and new alike neither stops nor passes a stage: differences scatter otherwise in it than
-  // before (two in a hundred sound rollouts were stopped by such blocks).
+  // Blocks in which old and new are degraded alike are left out: the variance of the differences is another
+  // one than in the baseline, and 2% of sound rollouts were stopped by such blocks.
   if (good_old && good_new && good_before_old_.count >= kMinBaselineBlocks &&
       good_before_new_.count >= kMinBaselineBlocks &&
       good_before_old_.sum / good_before_old_.count - *good_old >= limits_.max_shared_drop / 2 &&
@@ -211,12 +207,12 @@
       if (at == tests_.end()) {
         const double max_degradation = limits_.max_degradation[i];
         Test test;
-        // Against two hypotheses: that it is not worse to speak of, and that it is worse by too much.
+        // Two null hypotheses: that the new version is not noticeably worse, and that it is worse by more
+        // than is allowed.
         test.worse = SequentialTest(limits_.ignored_fraction * max_degradation);
         test.sound =
             SequentialTest(-max_degradation * (stratum.op_type == "all" ? 1 : limits_.op_type_factor));
-        test.offset =
-            max_degradation / 2;  // nothing is known of before: half of what is too much is let pass
+        test.offset = max_degradation / 2;  // without a baseline, half of what is allowed
         const auto base = baselines_.find(key);
         if (base != baselines_.end() && base->second.count >= kMinBaselineBlocks) {
           const Baseline& b0 = base->second;
@@ -224,7 +220,8 @@
           const double half =
               boost::math::quantile(boost::math::complement(t, kBaselineErrorProbability / 2)) *
               std::sqrt(b0.variance() / b0.count);
-          // What was worse before is no fault of the change; what may have been is given to it in part.
+          // A difference that existed before the change is not held against it, and its uncertainty only up
+          // to half of what is allowed.
           test.offset = std::clamp(b0.sum / b0.count, -0.5, 0.5) + std::min(half, max_degradation / 2);
           for (SequentialTest* one : {&test.worse, &test.sound})
             one->add_prior_variance(b0.count, b0.variance() * (b0.count - 1));
@@ -251,12 +248,12 @@
 
 void Judge::on_memory_growth(double bytes_new, double bytes_old, double minutes) {
   const double beyond = bytes_new - std::max(bytes_old, 0.0);
-  // Growth over less than this is a process that warms up, unless it is by so much.
+  // Growth within the first 3 minutes is warm-up, up to a limit.
   if (minutes < 3 && beyond * minutes < kWarmUpGrowthBytes) return;
   if (beyond < limits_.max_memory_growth_per_minute) return;
   char out[120];
-  std::snprintf(out, sizeof out, "memory grows by %.2f MB a minute, the old ones' by %.2f", bytes_new / 1e6,
-                bytes_old / 1e6);
+  std::snprintf(out, sizeof out, "memory grows by %.2f MB a minute, the old version's by %.2f",
+                bytes_new / 1e6, bytes_old / 1e6);
   stop_immediately(out);
 }
 
@@ -275,15 +272,15 @@
     out.description = immediate_stop_;
     return out;
   }
-  const auto said = [](const Key& key, const Test& test, double max_degradation) {
+  const auto describe = [](const Key& key, const Test& test, double max_degradation) {
     char text[200];
     std::snprintf(text, sizeof text,
-                  "%s of %s in %s: worse by %.4f beyond what was before (%.4f is too much), %d blocks",
+                  "%s of %s in %s: worse by %.4f beyond the baseline (limit %.4f), %d blocks",
                   name_of(key.measure), key.stratum.op_type.c_str(), key.stratum.zone.c_str(),
                   test.worse.mean(), max_degradation, test.worse.count());
     return std::string(text);
   };
-  // A trouble of all is nobody's; before the rest, since it spoils what is compared.
+  // Checked first, since a degradation of both sides invalidates the comparisons.
   if (recent_good_shares_.size() >= kRecentBlocks && good_before_old_.count >= kMinBaselineBlocks &&
       good_before_new_.count >= kMinBaselineBlocks) {
     double now_old = 0, now_new = 0;
@@ -291,18 +288,18 @@
       now_old += a / static_cast<double>(recent_good_shares_.size());
       now_new += b / static_cast<double>(recent_good_shares_.size());
     }
-    const double fell_old = good_before_old_.sum / good_before_old_.count - now_old;
-    const double fell_new = good_before_new_.sum / good_before_new_.count - now_new;
+    const double drop_old = good_before_old_.sum / good_before_old_.count - now_old;
+    const double drop_new = good_before_new_.sum / good_before_new_.count - now_new;
     char text[160];
-    std::snprintf(text, sizeof text, "good share below its past by %.3f (old) and %.3f (new)", fell_old,
-                  fell_new);
-    if (fell_old >= limits_.max_old_side_drop && fell_new < fell_old / 2) {
+    std::snprintf(text, sizeof text, "good share below its baseline by %.3f (old) and %.3f (new)", drop_old,
+                  drop_new);
+    if (drop_old >= limits_.max_old_side_drop && drop_new < drop_old / 2) {
       out.verdict = Verdict::harm;
       out.description = text;
       return out;
     }
-    if (fell_old >= limits_.max_shared_drop && fell_new >= limits_.max_shared_drop &&
-        fell_new < 2 * fell_old) {
+    if (drop_old >= limits_.max_shared_drop && drop_new >= limits_.max_shared_drop &&
+        drop_new < 2 * drop_old) {
       out.verdict = Verdict::shared_degradation;
       out.description = text;
       return out;
@@ -310,22 +307,22 @@
   }
   if (!old_side_seen_ && recent_good_shares_.size() >= kRecentBlocks &&
       good_before_new_.count >= kMinBaselineBlocks) {
-    // Nobody is old any more: the whole fleet is held against its own past.
+    // No keeper has the old version any more: the whole fleet is compared with its own baseline.
     double now_new = 0;
     for (const auto& [a, b] : recent_good_shares_)
       now_new += b / static_cast<double>(recent_good_shares_.size());
-    const double fell = good_before_new_.sum / good_before_new_.count - now_new;
-    if (fell >= limits_.max_shared_drop) {
+    const double drop = good_before_new_.sum / good_before_new_.count - now_new;
+    if (drop >= limits_.max_shared_drop) {
       out.verdict = Verdict::shared_degradation;
-      out.description = "the whole fleet's good share is below its past";
+      out.description = "the whole fleet's good share is below its baseline";
     } else if (soak_over) {
       out.verdict = Verdict::passed;
     }
     return out;
   }
   if (!old_side_seen_ && recent_good_shares_.size() >= kRecentBlocks) {
-    // Nor is there a past: a successor that took over in the last stage. What needs no comparison has not
-    // spoken.
+    // There is no baseline either: a successor took over in the last stage. No fault that needs no comparison
+    // was reported.
     if (soak_over) out.verdict = Verdict::passed;
     return out;
   }
@@ -341,39 +338,40 @@
   if (worst != nullptr && worst->worse.likelihood_ratio() >= stop_at) {
     out.verdict = Verdict::worse;
     out.description =
-        said(*worst_key, *worst, limits_.max_degradation[static_cast<std::size_t>(worst_key->measure)]);
+        describe(*worst_key, *worst, limits_.max_degradation[static_cast<std::size_t>(worst_key->measure)]);
     out.likelihood_ratio = worst->worse.likelihood_ratio();
     return out;
   }
   if (!soak_over) return out;
-  // What has to be shown not to be worse by too much: every measure over all, and the good share of each op
-  // type. The finer ones only stop: most of them have too little to show anything in a stage's time.
+  // To pass, every measure over all op types and the good share of each op type have to be shown not to be
+  // worse than allowed. The finer comparisons can only stop a stage: most of them have too few multigets in
+  // its time to show anything.
   const double pass_at = 1 / limits_.false_pass_probability;
   int longest = 0;
-  bool unsaid = false;
-  const Key* open = nullptr;
+  bool not_estimable = false;
+  const Key* pending = nullptr;
   for (const auto& [key, test] : tests_) {
-    const bool has_to =
+    const bool is_required =
         key.stratum.op_type == "all" || (key.stratum.zone == "all" && key.measure == Measure::good);
-    if (!has_to || test.sound.likelihood_ratio() >= pass_at) continue;
-    open = &key;
+    if (!is_required || test.sound.likelihood_ratio() >= pass_at) continue;
+    pending = &key;
     if (const auto more = test.sound.blocks_until(pass_at)) {
       longest = std::max(longest, *more);
     } else {
-      unsaid = true;
+      not_estimable = true;
     }
   }
-  if (open == nullptr && !tests_.empty()) {
+  if (pending == nullptr && !tests_.empty()) {
     out.verdict = Verdict::passed;
     return out;
   }
   out.verdict = Verdict::insufficient_data;
-  if (open != nullptr)
-    out.description =
-        std::string(name_of(open->measure)) + " of " + open->stratum.op_type + " in " + open->stratum.zone;
+  if (pending != nullptr)
+    out.description = std::string(name_of(pending->measure)) + " of " + pending->stratum.op_type + " in " +
+                      pending->stratum.zone;
   else
     out.description = "nothing could be compared";
-  if (open != nullptr && !unsaid) out.more_seconds = longest * limits_.block_seconds;
+  if (pending != nullptr && !not_estimable) out.more_seconds = longest * limits_.block_seconds;
   return out;
 }
 
--- a/src/rollout/plan_file.cpp
+++ b/src/rollout/plan_file.cpp
@@ -32,23 +32,25 @@
   reader.whole(root, "block", 1, 600, plan.limits.block_seconds);
   reader.whole(root, "least-asked", 1, 100'000, plan.limits.min_multigets);
   std::set<std::string> names;
-  for (const xml::Element& at : root.children()) {
-    if (at.name() == "stage") {
+  for (const xml::Element& element : root.children()) {
+    if (element.name() == "stage") {
       StagePlan stage;
-      stage.name = at.attribute("name").value_or("");
-      if (!names.insert(stage.name).second) reader.fault(at, "name: " + stage.name + " is there twice");
-      reader.whole(at, "count", 1, 4096, stage.count);
-      reader.number(at, "share", 0, 1, stage.share);
-      if (at.attribute("count") && at.attribute("share")) reader.fault(at, "both count and share");
-      stage.zone = at.attribute("zone").value_or("");
-      stage.group = at.attribute("group").value_or("");
-      reader.span(at, "soak", 5s, 48h, stage.soak);
+      stage.name = element.attribute("name").value_or("");
+      if (!names.insert(stage.name).second) reader.fault(element, "name: " + stage.name + " is used twice");
+      reader.whole(element, "count", 1, 4096, stage.count);
+      reader.number(element, "share", 0, 1, stage.share);
+      if (element.attribute("count") && element.attribute("share"))
+        reader.fault(element, "count and share exclude each other");
+      stage.zone = element.attribute("zone").value_or("");
+      stage.group = element.attribute("group").value_or("");
+      reader.span(element, "soak", 5s, 48h, stage.soak);
       plan.stages.push_back(std::move(stage));
-    } else if (at.name() == "limit") {
+    } else if (element.name() == "limit") {
       static constexpr const char* kNames[] = {"good", "failed", "pushed-back", "slow", "further", "cpu"};
-      const std::string measure = at.attribute("measure").value_or("");
+      const std::string measure = element.attribute("measure").value_or("");
       for (int i = 0; i < kMeasureCount; ++i) {
-        if (measure == kNames[i]) reader.number(at, "too-much", 0.0001, 1, plan.limits.max_degradation[i]);
+        if (measure == kNames[i])
+          reader.number(element, "too-much", 0.0001, 1, plan.limits.max_degradation[i]);
       }
     }
   }
--- a/src/rollout/plan_file.h
+++ b/src/rollout/plan_file.h
@@ -1,4 +1,4 @@
-// A plan as operators write it, in XML by deploy/rollout.xsd. Every fault is named with its line.
+// Reads a rollout plan from XML (deploy/rollout.xsd).
 #pragma once
 
 #include <optional>
@@ -10,8 +10,9 @@
 
 namespace marbledyke::rollout {
 
+// Either a plan, or all faults of the document with their lines.
 struct PlanResult {
-  std::optional<Plan> plan;  // none where there is a fault
+  std::optional<Plan> plan;
   std::vector<config::Fault> faults;
 };
 PlanResult read_plan(const std::string& text);
--- a/src/rollout/window_aggregator.cpp
+++ b/src/rollout/window_aggregator.cpp
@@ -7,9 +7,9 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kMaxWindows = 900;       // seconds of a keeper
-constexpr std::int64_t kLateWindowMs = 3'000;  // windows are waited for so long
-constexpr std::size_t kMaxCpuSamples = 1'000;
+constexpr std::size_t kMaxWindows = 900;       // per keeper
+constexpr std::int64_t kLateWindowMs = 3'000;  // how long after a block's end its windows may arrive
+constexpr std::size_t kMaxCpuSamples = 1'000;  // per keeper
 
 std::int64_t floor_to(std::int64_t ms, std::int64_t step) { return ms - ((ms % step) + step) % step; }
 
@@ -24,7 +24,8 @@
                                  const totals::Window& window) {
   const auto at = keepers_.find(keeper);
   if (at == keepers_.end()) return;
-  // Whole seconds: windows begin with one on every machine.
+  // Windows begin at a full second on every machine, so the difference of the clocks is rounded to full
+  // seconds.
   const std::int64_t ahead = floor_to(clock_ahead_ms + 500, 1000);
   const std::int64_t start = window.start_ms - ahead;
   SecondWindow& second = at->second.seconds[start];
@@ -42,29 +43,29 @@
                                          std::int64_t now_ms, double cpu_s, double rss) {
   const auto at = keepers_.find(keeper);
   if (at == keepers_.end()) return;
-  KeeperSeries& of = at->second;
-  if (started_ms != of.process_started_ms) {  // another process counts from nothing
-    of.cpu.clear();
-    of.process_started_ms = started_ms;
-    of.first_rss_ms = 0;
+  KeeperSeries& series = at->second;
+  if (started_ms != series.process_started_ms) {  // a new process: its CPU time starts at zero
+    series.cpu.clear();
+    series.process_started_ms = started_ms;
+    series.first_rss_ms = 0;
   }
-  of.cpu[now_ms] = cpu_s;
-  while (of.cpu.size() > kMaxCpuSamples) of.cpu.erase(of.cpu.begin());
+  series.cpu[now_ms] = cpu_s;
+  while (series.cpu.size() > kMaxCpuSamples) series.cpu.erase(series.cpu.begin());
   if (now_ms - started_ms < plan_.burn_in / 1ms) return;
-  if (of.first_rss_ms == 0) {
-    of.first_rss_ms = now_ms;
-    of.first_rss_bytes = rss;
+  if (series.first_rss_ms == 0) {
+    series.first_rss_ms = now_ms;
+    series.first_rss_bytes = rss;
   }
-  of.last_rss_bytes = rss;
-  of.last_rss_ms = now_ms;
+  series.last_rss_bytes = rss;
+  series.last_rss_ms = now_ms;
 }
 
-double WindowAggregator::cpu_seconds_between(const KeeperSeries& of, std::int64_t from_ms,
+double WindowAggregator::cpu_seconds_between(const KeeperSeries& series, std::int64_t from_ms,
                                              std::int64_t until_ms) const {
-  // Between the looks next before each end, scaled to the block's length.
-  const auto after = of.cpu.lower_bound(until_ms);
-  const auto before = of.cpu.lower_bound(from_ms);
-  if (before == of.cpu.begin() || after == of.cpu.begin() || before == of.cpu.end()) return 0;
+  // The difference between the last samples before each end, scaled to the length of the block.
+  const auto after = series.cpu.lower_bound(until_ms);
+  const auto before = series.cpu.lower_bound(from_ms);
+  if (before == series.cpu.begin() || after == series.cpu.begin() || before == series.cpu.end()) return 0;
   const auto a = std::prev(before), b = std::prev(after);
   if (b->first <= a->first) return 0;
   return std::max(b->second - a->second, 0.0) * static_cast<double>(until_ms - from_ms) /
@@ -75,24 +76,26 @@
                                    bool match_version) const {
   Block out;
   const std::int64_t until = from_ms + plan_.limits.block_seconds * 1000;
-  for (const auto& [name, of] : keepers_) {
-    std::map<std::string, Side> mine;
-    std::uint64_t asked = 0;
-    for (auto at = of.seconds.lower_bound(from_ms); at != of.seconds.end() && at->first < until; ++at) {
+  for (const auto& [name, series] : keepers_) {
+    std::map<std::string, Side> by_op_type;
+    std::uint64_t received = 0;
+    for (auto at = series.seconds.lower_bound(from_ms); at != series.seconds.end() && at->first < until;
+         ++at) {
       const SecondWindow& second = at->second;
       if (at->first - second.started_ms < plan_.burn_in / 1ms) continue;
-      // On a keeper that was changed, seconds of its former process belong to nobody, and the other way
-      // round.
+      // Windows of the previous process of a changed keeper belong to neither side, nor do windows of the new
+      // version on a keeper that counts as unchanged.
       if (match_version && (second.version == plan_.version) != changed.contains(name)) continue;
       for (const auto& [op, count] : second.window.by_op_type) {
-        mine[op].add(count, judge_ ? judge_->slow_threshold(op).value_or(0us) : 0us);
-        asked += count.taken;
+        by_op_type[op].add(count, judge_ ? judge_->slow_threshold(op).value_or(0us) : 0us);
+        received += count.taken;
       }
     }
-    const double cpu = cpu_seconds_between(of, from_ms, until);
-    for (auto& [op, side] : mine) {
-      if (asked > 0) side.cpu_seconds = cpu * static_cast<double>(side.received) / static_cast<double>(asked);
-      auto& [old_side, new_side] = out[{op, of.zone}];
+    const double cpu = cpu_seconds_between(series, from_ms, until);
+    for (auto& [op, side] : by_op_type) {
+      if (received > 0)
+        side.cpu_seconds = cpu * static_cast<double>(side.received) / static_cast<double>(received);
+      auto& [old_side, new_side] = out[{op, series.zone}];
       (changed.contains(name) ? new_side : old_side).merge(side);
     }
   }
@@ -103,13 +106,14 @@
                                         std::int64_t until_ms, std::int64_t now_ms) {
   changed_ = changed;
   std::set<std::string> zones;
-  for (const auto& [name, of] : keepers_) zones.insert(of.zone);
+  for (const auto& [name, series] : keepers_) zones.insert(series.zone);
   judge_ = std::make_unique<Judge>(plan_.limits,
                                    max_comparisons(plan_, op_type_count(), static_cast<int>(zones.size())));
   const std::int64_t step = plan_.limits.block_seconds * 1000;
   const std::int64_t first = floor_to(from_ms + step - 1, step);
-  for (const auto& [name, of] : keepers_) {
-    for (auto at = of.seconds.lower_bound(first); at != of.seconds.end() && at->first < until_ms; ++at) {
+  for (const auto& [name, series] : keepers_) {
+    for (auto at = series.seconds.lower_bound(first); at != series.seconds.end() && at->first < until_ms;
+         ++at) {
       for (const auto& [op, count] : at->second.window.by_op_type)
         judge_->add_baseline_latencies(op, count.latency);
     }
@@ -128,27 +132,28 @@
   compare_memory_growth();
 }
 
-// The middle one of each side: a single process may have its own reasons.
+// Compares the medians of the two sides, since a single process may grow for reasons of its own.
 void WindowAggregator::compare_memory_growth() {
-  std::vector<double> old_ones, new_ones;
+  std::vector<double> old_growth, new_growth;
   double minutes = 1e9;
-  for (const auto& [name, of] : keepers_) {
-    if (of.first_rss_ms == 0 || of.last_rss_ms - of.first_rss_ms < 10'000) {
+  for (const auto& [name, series] : keepers_) {
+    if (series.first_rss_ms == 0 || series.last_rss_ms - series.first_rss_ms < 10'000) {
       if (changed_.contains(name)) return;
       continue;
     }
-    const double span = static_cast<double>(of.last_rss_ms - of.first_rss_ms) / 60'000;
+    const double span = static_cast<double>(series.last_rss_ms - series.first_rss_ms) / 60'000;
     if (changed_.contains(name)) minutes = std::min(minutes, span);
-    (changed_.contains(name) ? new_ones : old_ones)
-        .push_back((of.last_rss_bytes - of.first_rss_bytes) / span);
+    (changed_.contains(name) ? new_growth : old_growth)
+        .push_back((series.last_rss_bytes - series.first_rss_bytes) / span);
   }
-  if (new_ones.empty()) return;
-  const auto middle = [](std::vector<double>& of) {
-    if (of.empty()) return 0.0;
-    std::nth_element(of.begin(), of.begin() + static_cast<std::ptrdiff_t>(of.size() / 2), of.end());
-    return of[of.size() / 2];
+  if (new_growth.empty()) return;
+  const auto median = [](std::vector<double>& values) {
+    if (values.empty()) return 0.0;
+    std::nth_element(values.begin(), values.begin() + static_cast<std::ptrdiff_t>(values.size() / 2),
+                     values.end());
+    return values[values.size() / 2];
   };
-  judge_->on_memory_growth(middle(new_ones), middle(old_ones), minutes);
+  judge_->on_memory_growth(median(new_growth), median(old_growth), minutes);
 }
 
 }  // namespace marbledyke::rollout
--- a/tests/rollout_traces.cpp
+++ b/tests/rollout_traces.cpp
@@ -1,5 +1,5 @@
-// Rolling changes as they are decided, without I/O: whom a stage changes, what the judge says of two sides,
-// what the conductor does with it, and both over an emulated fleet.
+// Tests of rollout decisions without I/O: which keepers a stage changes, the judge's verdicts on two sides,
+// the controller's actions and state changes, and both together over an emulated fleet.
 #include <cstdio>
 #include <functional>
 #include <map>
@@ -32,7 +32,7 @@
       std::printf("\n");
     }
     for (const std::string& why : plan_errors(plan, members(count, zones)))
-      std::printf("objection: %s\n", why.c_str());
+      std::printf("error: %s\n", why.c_str());
   };
   Plan plan;
   plan.stages = {{"one", 1, 0, "", "", 60s},
@@ -46,35 +46,35 @@
       {"group", 0, 0, "", "first", 60s}, {"zone", 0, 0, "z1", "", 60s}, {"rest", 0, 1, "", "", 60s}};
   show("a group, then a zone", plan, 8, 2);
   plan.stages = {{"most", 0, 0.8, "", "", 1s}, {"all", 0, 1, "", "", 60s}};
-  show("most at first, and no time", plan, 10, 2);
+  show("most keepers first, and a short soak", plan, 10, 2);
 }
 
-Side side(std::uint64_t asked, double bad, std::mt19937& chance) {
+Side side(std::uint64_t asked, double bad, std::mt19937& random) {
   Side out;
   out.received = out.completed = asked;
   const auto lost =
-      static_cast<std::uint64_t>(std::binomial_distribution<int>(static_cast<int>(asked), bad)(chance));
+      static_cast<std::uint64_t>(std::binomial_distribution<int>(static_cast<int>(asked), bad)(random));
   out.good = out.answered = asked - lost;
   out.failed = lost;
   out.slow = static_cast<std::uint64_t>(
-      std::binomial_distribution<int>(static_cast<int>(out.answered), 0.1)(chance));
+      std::binomial_distribution<int>(static_cast<int>(out.answered), 0.1)(random));
   out.sends = asked * 4;
   out.repeated_sends =
-      static_cast<std::uint64_t>(std::binomial_distribution<int>(static_cast<int>(out.sends), 0.02)(chance));
+      static_cast<std::uint64_t>(std::binomial_distribution<int>(static_cast<int>(out.sends), 0.02)(random));
   out.cpu_seconds = 5e-5 * static_cast<double>(asked);
   return out;
 }
 
-// Shares of what is asked and of what is lost, by op type and zone, for old and new; before the change and
-// after.
-struct Case {
+// A scenario for the judge: `how` sets the number of multigets and the share that fails, by op type and zone,
+// for the old and the new side, before and after the change.
+struct Scenario {
   const char* name;
   std::function<void(const Stratum&, bool is_new, bool after, int block, std::uint64_t& asked, double& bad)>
       how;
 };
 
 void verdicts() {
-  const Case cases[] = {
+  const Scenario scenarios[] = {
       {"sound", [](const Stratum&, bool, bool, int, std::uint64_t&, double&) {}},
       {"2% worse everywhere", [](const Stratum&, bool n, bool after, int, std::uint64_t&,
                                  double& bad) { bad += n && after ? 0.02 : 0; }},
@@ -82,7 +82,8 @@
        [](const Stratum& s, bool n, bool after, int, std::uint64_t&, double& bad) {
          bad += n && after && s.op_type == "issue" && s.zone == "a" ? 0.08 : 0;
        }},
-      // The new ones are asked mostly what is easy: in sum they look better, in each op type they are worse.
+      // Simpson's paradox: the new side receives mostly the op type that fails rarely, so it looks better in
+      // sum although it is worse in each op type.
       {"better in sum, worse in each op type",
        [](const Stratum& s, bool n, bool after, int, std::uint64_t& asked, double& bad) {
          bad = s.op_type == "issue" ? 0.10 : 0.01;
@@ -90,20 +91,20 @@
          if (n) asked = s.op_type == "issue" ? asked / 8 : asked * 2;
          bad += n ? 0.03 : 0;
        }},
-      {"unlike clients before and after alike",
+      {"sides differ alike before and after",
        [](const Stratum&, bool n, bool, int, std::uint64_t&, double& bad) { bad += n ? 0.03 : 0; }},
       {"worse only from the 30th block on", [](const Stratum&, bool n, bool after, int block, std::uint64_t&,
                                                double& bad) { bad += n && after && block >= 30 ? 0.04 : 0; }},
-      {"a trouble of all, blocks 5 to 20",
+      {"both degraded, blocks 5 to 20",
        [](const Stratum&, bool, bool after, int block, std::uint64_t&, double& bad) {
          bad += after && block >= 5 && block < 20 ? 0.2 : 0;
        }},
-      {"the new ones take from the old", [](const Stratum&, bool n, bool after, int, std::uint64_t&,
-                                            double& bad) { bad += !n && after ? 0.10 : 0; }},
-      {"hardly anything is asked",
+      {"the new version degrades the old", [](const Stratum&, bool n, bool after, int, std::uint64_t&,
+                                              double& bad) { bad += !n && after ? 0.10 : 0; }},
+      {"hardly any multigets",
        [](const Stratum&, bool, bool, int, std::uint64_t& asked, double&) { asked = asked / 100; }}};
-  for (const Case& one : cases) {
-    std::mt19937 chance(11);
+  for (const Scenario& scenario : scenarios) {
+    std::mt19937 random(11);
     Judge judge(Limits{}, 150);
     const auto block = [&](bool after, int number) {
       Block out;
@@ -113,8 +114,8 @@
           for (const bool is_new : {false, true}) {
             std::uint64_t asked = is_new ? 200 : 1600;
             double bad = 0.01;
-            one.how(stratum, is_new, after, number, asked, bad);
-            (is_new ? out[stratum].second : out[stratum].first) = side(asked, bad, chance);
+            scenario.how(stratum, is_new, after, number, asked, bad);
+            (is_new ? out[stratum].second : out[stratum].first) = side(asked, bad, random);
           }
         }
       }
@@ -123,14 +124,14 @@
     for (int i = 0; i < 12; ++i) judge.add_baseline_block(block(false, i));
     judge.start_comparison();
     rollout::Verdict last = rollout::Verdict::undecided;
-    std::string said;
+    std::string verdicts_seen;
     int at = 0;
     for (int i = 0; i < 48; ++i) {
       judge.add_comparison_block(block(true, i));
       const Finding found = judge.evaluate(i >= 36);
       if (found.verdict != last) {
-        said += (said.empty() ? "" : ", ") + std::string(name_of(found.verdict)) + " after " +
-                std::to_string(i + 1);
+        verdicts_seen += (verdicts_seen.empty() ? "" : ", ") + std::string(name_of(found.verdict)) +
+                         " after " + std::to_string(i + 1);
         last = found.verdict;
         at = i;
       }
@@ -139,7 +140,7 @@
         break;
     }
     (void)at;
-    std::printf("%-40s %s\n", one.name, said.empty() ? "nothing" : said.c_str());
+    std::printf("%-40s %s\n", scenario.name, verdicts_seen.empty() ? "nothing" : verdicts_seen.c_str());
   }
   Judge leak(Limits{}, 10);
   leak.on_memory_growth(1e6, 0.1e6, 2);
@@ -149,13 +150,13 @@
               leak.evaluate(false).description.c_str());
   Judge both(Limits{}, 10);
   both.on_memory_growth(1e6, 0.9e6, 10);
-  std::printf("the old ones grow as well: %s\n", name_of(both.evaluate(false).verdict));
+  std::printf("the old version grows as well: %s\n", name_of(both.evaluate(false).verdict));
 }
 
-// A fleet of keepers that carry out orders after a while, or do not, and a conductor that may be replaced at
-// any time.
-struct Fleet {
-  struct One {
+// Simulated keepers that carry out orders after 3 s, or fail to, and a controller that may be replaced at any
+// time. `broken` names the last safety property that was violated.
+struct SimulatedFleet {
+  struct SimulatedKeeper {
     std::string version = "old", outcome = "done";
     std::string to;
     Duration at = Duration::max();
@@ -163,17 +164,17 @@
     std::uint64_t epoch = 0, number = 0, uses = 0;
   };
   Plan plan;
-  std::vector<Member> its;
-  std::map<std::string, One> keepers;
+  std::vector<Member> fleet_members;
+  std::map<std::string, SimulatedKeeper> keepers;
   std::unique_ptr<Controller> controller;
   rollout::SavedState saved;
   std::uint64_t epoch = 0;
   Duration now{};
   std::function<Finding(const Controller&)> judge;
-  std::function<void(const std::string&)> told;
+  std::function<void(const std::string&)> on_history;
   std::string broken;
 
-  explicit Fleet(int count) : its(members(count, 2)) {
+  explicit SimulatedFleet(int count) : fleet_members(members(count, 2)) {
     plan.name = plan.version = "new";
     plan.max_concurrent = 2;
     plan.baseline_time = 10s;
@@ -181,7 +182,7 @@
     plan.swap_timeout = 20s;
     plan.max_wait = 60s;
     plan.stages = {{"one", 1, 0, "", "", 20s}, {"half", 0, 0.5, "", "", 20s}, {"all", 0, 1, "", "", 10s}};
-    for (const Member& member : its) keepers[member.name] = {};
+    for (const Member& member : fleet_members) keepers[member.name] = {};
     judge = [](const Controller& c) {
       Finding out;
       out.verdict = c.is_soak_over() ? rollout::Verdict::passed : rollout::Verdict::undecided;
@@ -189,31 +190,33 @@
     };
     take_over();
   }
-  void take_over() { controller = std::make_unique<Controller>(plan, its, saved, ++epoch, now, 1000s + now); }
+  void take_over() {
+    controller = std::make_unique<Controller>(plan, fleet_members, saved, ++epoch, now, 1000s + now);
+  }
   void step() {
     now += 1s;
-    for (auto& [name, one] : keepers) {
-      if (now < one.at) continue;
-      one.at = Duration::max();
-      const bool bad = one.to == "new" ? one.fails : one.fails_back;
+    for (auto& [name, keeper] : keepers) {
+      if (now < keeper.at) continue;
+      keeper.at = Duration::max();
+      const bool bad = keeper.to == "new" ? keeper.fails : keeper.fails_back;
       if (bad) {
-        one.outcome = one.to == "new" ? "back" : "held";
+        keeper.outcome = keeper.to == "new" ? "back" : "held";
       } else {
-        one.version = one.to;
-        one.outcome = one.to == "new" ? "on_trial" : "done";
+        keeper.version = keeper.to;
+        keeper.outcome = keeper.to == "new" ? "on_trial" : "done";
       }
     }
     if (controller == nullptr) return;
     controller->on_tick(now, 1000s + now);
-    for (auto& [name, one] : keepers) {
-      if (!one.reachable) continue;
+    for (auto& [name, keeper] : keepers) {
+      if (!keeper.reachable) continue;
       KeeperReport report;
-      report.active_version = one.version;
-      report.outcome = one.outcome;
+      report.active_version = keeper.version;
+      report.outcome = keeper.outcome;
       report.reason = "it failed";
-      report.order_epoch = one.epoch;
-      report.order_number = one.number;
-      report.has_version = one.has;
+      report.order_epoch = keeper.epoch;
+      report.order_number = keeper.number;
+      report.has_version = keeper.has;
       report.is_serving = true;
       controller->on_report(name, report);
     }
@@ -228,21 +231,21 @@
       const auto action = controller->next_action();
       if (!action) break;
       if (action->kind == Action::Kind::save_state) saved = controller->saved();
-      if (action->kind == Action::Kind::log && told) told(action->reason);
+      if (action->kind == Action::Kind::log && on_history) on_history(action->reason);
       if (action->kind != Action::Kind::use && action->kind != Action::Kind::roll_back &&
           action->kind != Action::Kind::confirm)
         continue;
-      One& one = keepers[action->keeper];
-      if (told)
-        told((action->kind == Action::Kind::use         ? "use "
-              : action->kind == Action::Kind::roll_back ? "back "
-                                                        : "confirm ") +
-             action->keeper);
-      if (!one.reachable) continue;
+      SimulatedKeeper& keeper = keepers[action->keeper];
+      if (on_history)
+        on_history((action->kind == Action::Kind::use         ? "use "
+                    : action->kind == Action::Kind::roll_back ? "back "
+                                                              : "confirm ") +
+                   action->keeper);
+      if (!keeper.reachable) continue;
       if (action->kind == Action::Kind::confirm) {
-        if (one.outcome == "on_trial") one.outcome = "done";
-        one.epoch = epoch;
-        one.number = action->number;
+        if (keeper.outcome == "on_trial") keeper.outcome = "done";
+        keeper.epoch = epoch;
+        keeper.number = action->number;
         continue;
       }
       if (action->kind == Action::Kind::use) {
@@ -252,29 +255,30 @@
           }
         }
         if (stage_under_way != controller->saved().stage)
-          broken = "an order of another stage than the one under way";
-        if (one.version == "new") broken = "a step repeated";
-        one.uses += 1;
+          broken = "an order of a stage other than the one under way";
+        if (keeper.version == "new") broken = "a keeper was ordered to change twice";
+        keeper.uses += 1;
       }
-      if (one.outcome == "under_way") continue;  // its keeper is busy with it
-      one.to = action->kind == Action::Kind::use ? "new" : action->version;
-      one.outcome = "under_way";
-      one.epoch = epoch;
-      one.number = action->number;
-      one.at = now + 3s;
+      if (keeper.outcome == "under_way") continue;  // the keeper refuses orders meanwhile
+      keeper.to = action->kind == Action::Kind::use ? "new" : action->version;
+      keeper.outcome = "under_way";
+      keeper.epoch = epoch;
+      keeper.number = action->number;
+      keeper.at = now + 3s;
     }
     int under_way = 0;
-    // One that cannot be reached holds up nobody else.
-    for (const auto& [name, one] : keepers) under_way += one.outcome == "under_way" && one.reachable ? 1 : 0;
-    if (under_way > plan.max_concurrent) broken = "more at a time than the plan says";
+    // Unreachable keepers do not count against the limit.
+    for (const auto& [name, keeper] : keepers)
+      under_way += keeper.outcome == "under_way" && keeper.reachable ? 1 : 0;
+    if (under_way > plan.max_concurrent) broken = "more keepers under way than the plan allows";
   }
   void run(Duration until) {
     while (now < until && controller != nullptr && !controller->is_over()) step();
   }
   std::string end() const {
-    int new_ones = 0;
-    for (const auto& [name, one] : keepers) new_ones += one.version == "new" ? 1 : 0;
-    return std::string(name_of(controller->state())) + ", " + std::to_string(new_ones) + " of " +
+    int new_count = 0;
+    for (const auto& [name, keeper] : keepers) new_count += keeper.version == "new" ? 1 : 0;
+    return std::string(name_of(controller->state())) + ", " + std::to_string(new_count) + " of " +
            std::to_string(keepers.size()) + " new" +
            (controller->saved().reason.empty() ? "" : "; " + controller->saved().reason) +
            (broken.empty() ? "" : "; BROKEN: " + broken) +
@@ -283,12 +287,13 @@
 };
 
 void conductors() {
-  const auto play = [](const char* what, const std::function<void(Fleet&)>& how, bool tell = false) {
+  const auto run_scenario = [](const char* what, const std::function<void(SimulatedFleet&)>& how,
+                               bool tell = false) {
     std::printf("-- %s\n", what);
-    Fleet fleet(6);
+    SimulatedFleet fleet(6);
     if (tell) {
-      fleet.told = [&fleet](const std::string& said) {
-        std::printf("%4lld  %s\n", static_cast<long long>(fleet.now / 1s), said.c_str());
+      fleet.on_history = [&fleet](const std::string& line) {
+        std::printf("%4lld  %s\n", static_cast<long long>(fleet.now / 1s), line.c_str());
       };
     }
     fleet.controller->start();
@@ -296,11 +301,11 @@
     fleet.run(1000s);
     std::printf("%s\n", fleet.end().c_str());
   };
-  play(
-      "sound", [](Fleet&) {}, true);
-  play(
+  run_scenario(
+      "sound", [](SimulatedFleet&) {}, true);
+  run_scenario(
       "the judge stops the second stage",
-      [](Fleet& f) {
+      [](SimulatedFleet& f) {
         f.judge = [](const Controller& c) {
           Finding out;
           if (c.saved().stage == 1 && c.soak_time() > 5s) {
@@ -313,20 +318,20 @@
         };
       },
       true);
-  play("a keeper fails in the second stage", [](Fleet& f) { f.keepers["m3"].fails = true; });
-  play("the way back fails too", [](Fleet& f) {
+  run_scenario("a keeper fails in the second stage", [](SimulatedFleet& f) { f.keepers["m3"].fails = true; });
+  run_scenario("the rollback fails too", [](SimulatedFleet& f) {
     f.keepers["m3"].fails = true;
     f.keepers["m0"].fails_back = true;
   });
-  play("one does not have the version", [](Fleet& f) { f.keepers["m5"].has = false; });
-  play("one is never reached", [](Fleet& f) { f.keepers["m5"].reachable = false; });
-  play("half cannot be reached in the middle of a stage, for 30 s", [](Fleet& f) {
+  run_scenario("a keeper does not have the version", [](SimulatedFleet& f) { f.keepers["m5"].has = false; });
+  run_scenario("a keeper is never reached", [](SimulatedFleet& f) { f.keepers["m5"].reachable = false; });
+  run_scenario("half cannot be reached in the middle of a stage, for 30 s", [](SimulatedFleet& f) {
     f.run(50s);
     for (const char* name : {"m1", "m2", "m3"}) f.keepers[name].reachable = false;
     f.run(80s);
-    for (auto& [name, one] : f.keepers) one.reachable = true;
+    for (auto& [name, keeper] : f.keepers) keeper.reachable = true;
   });
-  play("too little to tell, for longer than the longest wait", [](Fleet& f) {
+  run_scenario("insufficient data for longer than the longest wait", [](SimulatedFleet& f) {
     f.judge = [](const Controller& c) {
       Finding out;
       if (c.is_soak_over()) {
@@ -336,7 +341,7 @@
       return out;
     };
   });
-  play("a trouble of all for 20 s", [](Fleet& f) {
+  run_scenario("old and new degraded alike for 20 s", [](SimulatedFleet& f) {
     f.judge = [&f](const Controller& c) {
       Finding out;
       if (f.now > 30s && f.now < 50s) {
@@ -347,24 +352,24 @@
       return out;
     };
   });
-  play("one goes back by itself while it soaks", [](Fleet& f) {
+  run_scenario("a keeper rolls back by itself while the stage soaks", [](SimulatedFleet& f) {
     f.run(45s);
-    for (auto& [name, one] : f.keepers) {
-      if (one.version == "new") {
-        one.version = "old";
-        one.outcome = "back";
+    for (auto& [name, keeper] : f.keepers) {
+      if (keeper.version == "new") {
+        keeper.version = "old";
+        keeper.outcome = "back";
         break;
       }
     }
   });
-  play("paused, then taken back by a person", [](Fleet& f) {
+  run_scenario("paused, then rolled back by an operator", [](SimulatedFleet& f) {
     f.run(40s);
     f.controller->pause();
     f.run(60s);
     std::printf("paused at %s\n", name_of(f.controller->saved().paused_from));
     f.controller->roll_back("by hand");
   });
-  play("paused and resumed", [](Fleet& f) {
+  run_scenario("paused and resumed", [](SimulatedFleet& f) {
     f.run(40s);
     f.controller->pause();
     f.run(60s);
@@ -372,23 +377,24 @@
   });
 }
 
-// The conductor is replaced before each single act, and at random moments with keepers that fail at random:
-// never a step twice, never two stages under way, and always an end.
+// The controller is replaced at random moments, with sound keepers and with keepers that fail at random. No
+// keeper may be ordered to change twice, no two stages may be under way at a time, and every rollout has to
+// end.
 void successors() {
   std::map<std::string, int> ends;
   int broken = 0, open = 0;
   for (std::uint32_t seed = 1; seed <= 2000; ++seed) {
-    std::mt19937 chance(seed);
-    Fleet fleet(6);
+    std::mt19937 random(seed);
+    SimulatedFleet fleet(6);
     const bool sound = seed % 2 == 0;
     if (!sound) {
-      for (auto& [name, one] : fleet.keepers) {
-        one.fails = chance() % 12 == 0;
-        one.fails_back = chance() % 20 == 0;
+      for (auto& [name, keeper] : fleet.keepers) {
+        keeper.fails = random() % 12 == 0;
+        keeper.fails_back = random() % 20 == 0;
       }
-      fleet.judge = [&chance](const Controller& c) {
+      fleet.judge = [&random](const Controller& c) {
         Finding out;
-        const auto drawn = chance() % 200;
+        const auto drawn = random() % 200;
         out.verdict = drawn == 0         ? rollout::Verdict::worse
                       : drawn == 1       ? rollout::Verdict::harm
                       : drawn < 20       ? rollout::Verdict::shared_degradation
@@ -400,17 +406,17 @@
     }
     fleet.controller->start();
     for (int i = 0; i < 2000 && !fleet.controller->is_over(); ++i) {
-      if (chance() % 15 == 0) {
-        fleet.take_over();  // the former one is gone, with what it had decided and not carried out
+      if (random() % 15 == 0) {
+        fleet.take_over();  // actions that were decided and not yet carried out are lost
         fleet.controller->start();
       }
-      if (!sound && chance() % 40 == 0)
-        fleet.keepers["m" + std::to_string(chance() % 6)].reachable = chance() % 3 != 0;
-      if (chance() % 200 == 0) fleet.controller->pause();
-      if (fleet.controller->state() == State::paused && chance() % 10 == 0) fleet.controller->resume();
+      if (!sound && random() % 40 == 0)
+        fleet.keepers["m" + std::to_string(random() % 6)].reachable = random() % 3 != 0;
+      if (random() % 200 == 0) fleet.controller->pause();
+      if (fleet.controller->state() == State::paused && random() % 10 == 0) fleet.controller->resume();
       fleet.step();
     }
-    for (auto& [name, one] : fleet.keepers) one.reachable = true;
+    for (auto& [name, keeper] : fleet.keepers) keeper.reachable = true;
     fleet.run(fleet.now + 600s);
     if (!fleet.broken.empty() || fleet.controller->impossible_events() > 0) {
       if (++broken <= 3) std::printf("seed %u: %s\n", seed, fleet.end().c_str());
@@ -425,8 +431,8 @@
 }
 
 void fleets() {
-  const auto play = [](const char* what, int runs, const emulator::FleetModel& fleet,
-                       const emulator::Flaw& flaw) {
+  const auto run_scenario = [](const char* what, int runs, const emulator::FleetModel& fleet,
+                               const emulator::Flaw& flaw) {
     std::map<std::string, int> ends;
     for (int i = 1; i <= runs; ++i) {
       const emulator::RolloutResult r =
@@ -441,15 +447,15 @@
   emulator::FleetModel fleet;
   fleet.gatherers = 300;
   emulator::Flaw flaw;
-  play("sound", 15, fleet, flaw);
+  run_scenario("sound", 15, fleet, flaw);
   flaw.bad = 0.02;
-  play("2% lost", 10, fleet, flaw);
+  run_scenario("2% lost", 10, fleet, flaw);
   flaw.bad = 0;
   flaw.others = 0.5;
-  play("takes from the others", 10, fleet, flaw);
+  run_scenario("degrades the old version", 10, fleet, flaw);
   flaw.others = 0;
   fleet.trouble = true;
-  play("sound, with troubles of all", 15, fleet, flaw);
+  run_scenario("sound, with shared degradations", 15, fleet, flaw);
 }
 
 }  // namespace
