--- a/src/fleet/agreement.cpp
+++ b/src/fleet/agreement.cpp
@@ -1,4 +1,4 @@
-// Bringing a change to agreement, over sockets.
+// The network side of an agreement: sends the proposer's messages to the voting control nodes.
 #include <unistd.h>
 
 #include <algorithm>
@@ -17,15 +17,15 @@
 using distribution::Revision;
 using nlohmann::json;
 
-// Of no other proposer, ever.
-std::string identity() {
-  std::random_device chance;
+// Proposer ids have to be unique among all proposers at any time, hence the random part.
+std::string make_proposer_id() {
+  std::random_device random;
   char out[64];
-  std::snprintf(out, sizeof out, "fleet-%d-%08x%08x", static_cast<int>(getpid()), chance(), chance());
+  std::snprintf(out, sizeof out, "fleet-%d-%08x%08x", static_cast<int>(getpid()), random(), random());
   return out;
 }
 
-std::string text_of_failure(const HttpResponse& response) {
+std::string error_text(const HttpResponse& response) {
   if (response.status == 0) return response.error;
   const json error = response.body.is_object() ? response.body.value("error", json()) : json();
   return error.is_string() ? error.get<std::string>() : "status " + std::to_string(response.status);
@@ -36,16 +36,16 @@
 Agreement::Agreement(net::Loop& loop, const Fleet& fleet,
                      std::optional<distribution::Proposer::Change> change)
     : loop_(loop), fleet_(fleet), change_(std::move(change)), client_(loop) {
-  for (const ControlNodeAt& node : fleet.control_nodes) {
+  for (const ControlNodeEntry& node : fleet.control_nodes) {
     if (node.voter) voters_.push_back(&node);
   }
-  newest_call_.resize(voters_.size());
+  latest_call_.resize(voters_.size());
 }
 
-std::optional<Revision> Agreement::newest_known() {
+std::optional<Revision> Agreement::fetch_newest() {
   std::optional<Revision> out;
-  for (const ControlNodeAt& node : fleet_.control_nodes) {
-    client_.call(node.address, "GET", "/v1/configuration/state", "", kNodeCall,
+  for (const ControlNodeEntry& node : fleet_.control_nodes) {
+    client_.call(node.address, "GET", "/v1/configuration/state", "", kControlNodeTimeout,
                  [&](const HttpResponse& response) {
                    if (response.status != 200 || !response.body.is_object()) return;
                    try {
@@ -55,98 +55,99 @@
                      if (distribution::fault_of(read, fleet_.name)) return;
                      if (!out || read.index > out->index) out = std::move(read);
                    } catch (const config::BadInput&) {
-                     // A node that tells nonsense is heard by none.
+                     // A malformed answer is ignored.
                    }
                  });
   }
-  run_calls();
+  wait_for_calls();
   return out;
 }
 
-// Until every call is answered or given up.
-void Agreement::run_calls() {
+// Runs the loop until every call is answered or has timed out.
+void Agreement::wait_for_calls() {
   while (client_.pending_calls() > 0) loop_.gather();
   loop_.at(loop_.now(), [] {});
-  loop_.gather();  // the last is told in a turn of its own
+  loop_.gather();  // the last callback runs in a turn of its own
 }
 
 Outcome Agreement::run() {
   loop_.read_clock();
-  const Duration until = loop_.now() + kPutLimit;
+  const Duration until = loop_.now() + kChangeTimeout;
   if (voters_.empty()) {
-    why_ = "the fleet's file names no control node that votes";
+    errors_ = "the fleet file names no voting control node";
     return Outcome::refused;
   }
-  std::optional<Revision> chosen = newest_known();
-  proposer_.emplace(voters_.size(), identity(), change_, std::move(chosen));
-  carry_out();
+  std::optional<Revision> chosen = fetch_newest();
+  proposer_.emplace(voters_.size(), make_proposer_id(), change_, std::move(chosen));
+  send_messages();
   while (proposer_->outcome() == Outcome::under_way && loop_.now() < until) {
     loop_.at(std::min(until, loop_.now() + 50ms), [] {});
     loop_.gather();
   }
   if (proposer_->outcome() == Outcome::under_way) {
-    why_ += (why_.empty() ? "" : "; ") + std::string("not over within 8 s");
-    return sent_out_ ? Outcome::unknown : Outcome::no_majority;
+    errors_ += (errors_.empty() ? "" : "; ") + std::string("no result within 8 s");
+    return accept_sent_ ? Outcome::unknown : Outcome::no_majority;
   }
-  if (!proposer_->why().empty()) why_ = proposer_->why() + (why_.empty() ? "" : "; " + why_);
+  if (!proposer_->why().empty()) errors_ = proposer_->why() + (errors_.empty() ? "" : "; " + errors_);
   return proposer_->outcome();
 }
 
 std::optional<Revision> Agreement::result() const { return proposer_ ? proposer_->result() : std::nullopt; }
 
-void Agreement::carry_out() {
+void Agreement::send_messages() {
   while (const auto message = proposer_->next()) send(*message);
-  if (!proposer_->waits_for_round() || resting_) return;
-  resting_ = true;
-  std::random_device chance;
-  const double jitter = static_cast<double>(chance() % 1000) / 1000.0;
+  if (!proposer_->waits_for_round() || backing_off_) return;
+  backing_off_ = true;
+  std::random_device random;
+  const double jitter = static_cast<double>(random() % 1000) / 1000.0;
   loop_.at(loop_.now() + proposer_->backoff(jitter), [this] {
-    resting_ = false;
+    backing_off_ = false;
     proposer_->begin_round();
-    carry_out();
+    send_messages();
   });
 }
 
 void Agreement::send(const distribution::Message& message) {
   const std::size_t voter = message.voter;
-  const std::uint64_t number = ++newest_call_[voter];
+  const std::uint64_t number = ++latest_call_[voter];
   const bool accepts = std::holds_alternative<distribution::Accept>(message.what);
-  sent_out_ = sent_out_ || accepts;
+  accept_sent_ = accept_sent_ || accepts;
   const std::string body =
-      std::visit([](const auto& one) { return distribution::put(one).dump(); }, message.what);
+      std::visit([](const auto& content) { return distribution::put(content).dump(); }, message.what);
   client_.call(voters_[voter]->address, "POST",
-               accepts ? "/v1/configuration/accept" : "/v1/configuration/prepare", body, kNodeCall,
-               [this, voter, number](const HttpResponse& response) { answered(voter, number, response); });
+               accepts ? "/v1/configuration/accept" : "/v1/configuration/prepare", body, kControlNodeTimeout,
+               [this, voter, number](const HttpResponse& response) { on_response(voter, number, response); });
 }
 
-void Agreement::answered(std::size_t voter, std::uint64_t number, const HttpResponse& response) {
+void Agreement::on_response(std::size_t voter, std::uint64_t number, const HttpResponse& response) {
   if (response.status != 200) {
-    fail(voter, number, text_of_failure(response));
+    on_failure(voter, number, error_text(response));
   } else {
     try {
       proposer_->replied(voter, distribution::read_reply(response.body));
     } catch (const config::BadInput& wrong) {
-      fail(voter, number, wrong.what());
+      on_failure(voter, number, wrong.what());
     }
   }
-  carry_out();
+  send_messages();
 }
 
-void Agreement::fail(std::size_t voter, std::uint64_t number, const std::string& why) {
-  const std::string said = voters_[voter]->name + ": " + why;
-  if (why_.find(said) == std::string::npos) why_ += (why_.empty() ? "" : "; ") + said;
-  if (number == newest_call_[voter]) proposer_->failed(voter);
+void Agreement::on_failure(std::size_t voter, std::uint64_t number, const std::string& error) {
+  const std::string entry = voters_[voter]->name + ": " + error;
+  if (errors_.find(entry) == std::string::npos) errors_ += (errors_.empty() ? "" : "; ") + entry;
+  if (number == latest_call_[voter]) proposer_->failed(voter);
 }
 
-std::size_t Agreement::tell_all(const Revision& revision) {
-  std::size_t took = 0;
+std::size_t Agreement::notify_all_nodes(const Revision& revision) {
+  std::size_t accepted_by = 0;
   const std::string body = distribution::put(revision).dump();
-  for (const ControlNodeAt& node : fleet_.control_nodes) {
-    client_.call(node.address, "POST", "/v1/configuration/learn", body, kNodeCall,
-                 [&took](const HttpResponse& response) { took += response.status == 200 ? 1 : 0; });
+  for (const ControlNodeEntry& node : fleet_.control_nodes) {
+    client_.call(
+        node.address, "POST", "/v1/configuration/learn", body, kControlNodeTimeout,
+        [&accepted_by](const HttpResponse& response) { accepted_by += response.status == 200 ? 1 : 0; });
   }
-  run_calls();
-  return took;
+  wait_for_calls();
+  return accepted_by;
 }
 
 }  // namespace marbledyke::fleet
--- a/src/fleet/configuration.h
+++ b/src/fleet/configuration.h
@@ -1,6 +1,6 @@
-// The fleet's settings as its operators handle them: a change is brought to agreement among the control
-// nodes, and its way to every gatherer is watched. Carries out what distribution::Proposer decides, by calls
-// that are each given up after a second.
+// Operators' commands for the fleet's settings: brings a change to agreement among the control nodes and
+// follows its distribution to every gatherer. Carries out what distribution::Proposer decides, by calls with
+// a time limit of one second each.
 #pragma once
 
 #include <cstdint>
@@ -15,76 +15,85 @@
 
 namespace marbledyke::fleet {
 
-inline constexpr Duration kNodeCall{1'000'000};  // the longest of one call to a control node
-inline constexpr Duration kPutLimit{8'000'000};  // of a whole change
-inline constexpr Duration kLookEvery{200'000};   // how often it is looked whether all have a change
+inline constexpr Duration kControlNodeTimeout = std::chrono::seconds(1);  // of one call
+inline constexpr Duration kChangeTimeout = std::chrono::seconds(8);       // of a whole change
+// How often the control nodes are asked whether a change is in force everywhere.
+inline constexpr Duration kPollInterval = std::chrono::milliseconds(200);
 inline constexpr int kExitAgreed = 0, kExitConflict = 1, kExitNoMajority = 2, kExitUnknown = 4;
 
-// What a change is to be. `document` is the text of the settings' file.
-struct Put {
+// A change that an operator asks for. `document` is the text of the settings file.
+struct ChangeRequest {
   std::string document, author;
-  double share = 1;
-  std::optional<std::int64_t> after;  // the revision that it must follow
-  Duration wait{};                    // until it is in force everywhere; zero: it is not waited for
+  double share = 1;                   // of the gatherers that the change is meant for
+  std::optional<std::int64_t> after;  // the revision that the change must follow directly
+  Duration wait{};                    // how long to wait until it is in force everywhere; zero: not at all
 };
 
-// Brings one change, or none, to agreement.
+// One round of agreement among the voting control nodes: proposes a change, or without one completes what
+// another proposer left behind.
 class Agreement {
  public:
   Agreement(net::Loop& loop, const Fleet& fleet, std::optional<distribution::Proposer::Change> change);
-  // Runs the loop until it is over, kPutLimit at most.
+  // Runs the loop until the outcome is known, for at most kChangeTimeout.
   distribution::Outcome run();
-  // What is agreed; none: nothing is.
+  // The revision that is agreed, if any.
   std::optional<distribution::Revision> result() const;
-  // What went wrong, by name; also of nodes that could not be asked.
-  const std::string& why() const { return why_; }
-  // Tells every node what is agreed; how many took it.
-  std::size_t tell_all(const distribution::Revision& revision);
-  std::optional<distribution::Revision> newest_known();  // asks every node
+  // What went wrong, also at nodes that could not be reached; each part names its node.
+  const std::string& errors() const { return errors_; }
+  // Sends the agreed revision to every control node. Returns how many accepted it.
+  std::size_t notify_all_nodes(const distribution::Revision& revision);
+  // Asks every control node for the newest revision that it knows to be agreed.
+  std::optional<distribution::Revision> fetch_newest();
 
  private:
   void send(const distribution::Message& message);
-  void answered(std::size_t voter, std::uint64_t number, const HttpResponse& response);
-  void carry_out();
-  void fail(std::size_t voter, std::uint64_t number, const std::string& why);
-  void run_calls();
+  void on_response(std::size_t voter, std::uint64_t number, const HttpResponse& response);
+  void send_messages();
+  void on_failure(std::size_t voter, std::uint64_t number, const std::string& error);
+  void wait_for_calls();
 
   net::Loop& loop_;
   const Fleet& fleet_;
-  std::vector<const ControlNodeAt*> voters_;
+  std::vector<const ControlNodeEntry*> voters_;
   std::optional<distribution::Proposer::Change> change_;
   std::optional<distribution::Proposer> proposer_;
-  std::vector<std::uint64_t> newest_call_;  // to each voter; an earlier one's failure counts no more
+  std::vector<std::uint64_t>
+      latest_call_;  // number of the latest call to each voter; failures of earlier ones are ignored
   HttpClient client_;
-  bool resting_ = false, sent_out_ = false;  // something may have been accepted
-  std::string why_;
+  bool backing_off_ = false, accept_sent_ = false;  // an accept was sent, so a voter may have accepted
+  std::string errors_;
 };
 
-// What the control nodes know of who runs which revision.
-struct NodeSeen {
-  std::string name, why;  // why: it did not answer
-  std::int64_t newest = 0;
+// A control node, as it answered.
+struct NodeStatus {
+  std::string name, why;    // why: the node did not answer
+  std::int64_t newest = 0;  // index of the newest revision that it knows
 };
-struct ReceiverSeen {
-  std::string name, zone, why;  // why: of its refusal
-  std::int64_t index = 0, refused = 0, heard_ms_ago = 0, in_force_ms_ago = 0;
+// A keeper that receives the settings, as the control nodes know it.
+struct ReceiverStatus {
+  std::string name, zone, why;  // why: the reason for refusing a revision
+  std::int64_t index = 0;       // of the revision in force
+  std::int64_t refused = 0;     // index of the newest revision that it refused
+  std::int64_t heard_ms_ago = 0, in_force_ms_ago = 0;
 };
-struct Spread {
-  std::vector<NodeSeen> nodes;
-  std::vector<ReceiverSeen> receivers;  // each once, as the node that heard it last has it
+// Which revision is in force where.
+struct RevisionStatus {
+  std::vector<NodeStatus> nodes;
+  std::vector<ReceiverStatus> receivers;  // each once, from the node that heard of it last
   std::optional<distribution::Revision> newest;
-  std::vector<std::string> not_heard;  // of the fleet's keepers
-  std::vector<std::string> behind;     // of those the newest is meant for: heard of, with another one
-  std::int64_t since_ms_ago = 0;       // the newest has been in force everywhere for so long
-  // Every keeper of the fleet that the newest is meant for has said that it runs it.
-  bool everywhere() const { return newest && not_heard.empty() && behind.empty(); }
+  std::vector<std::string> not_heard;  // keepers of the fleet that no control node has heard of lately
+  std::vector<std::string> behind;  // keepers that the newest revision is meant for and that run another one
+  std::int64_t in_force_everywhere_ms = 0;  // for how long the newest revision has been in force everywhere
+  // Whether every keeper that the newest revision is meant for has reported that it runs it.
+  bool is_in_force_everywhere() const { return newest && not_heard.empty() && behind.empty(); }
 };
-Spread look(net::Loop& loop, const Fleet& fleet);
-nlohmann::json put(const Spread& spread);
-std::vector<std::string> table(const Spread& spread);
+// Asks every control node; runs the loop until all have answered or timed out.
+RevisionStatus fetch_revision_status(net::Loop& loop, const Fleet& fleet);
+nlohmann::json to_json(const RevisionStatus& status);
+std::vector<std::string> to_table(const RevisionStatus& status);
 
-// The commands: what they print, and their exit status.
-int configuration_put(const Fleet& fleet, const Put& what);
+// The commands. Each prints its result to standard output and returns the exit status of the process.
+int configuration_put(const Fleet& fleet, const ChangeRequest& request);
 int configuration_complete(const Fleet& fleet);
 int configuration_status(const Fleet& fleet, bool as_json);
 int configuration_show(const Fleet& fleet);
--- a/src/fleet/fleet_file.h
+++ b/src/fleet/fleet_file.h
@@ -1,5 +1,4 @@
-// A fleet as operators list it, in XML by deploy/fleet.xsd: its zones, groups and keepers. Every fault is
-// named with its line.
+// Reads the list of a fleet's zones, groups, control nodes and keepers from XML (deploy/fleet.xsd).
 #pragma once
 
 #include <optional>
@@ -11,31 +10,35 @@
 
 namespace marbledyke::fleet {
 
-struct KeeperAt {
+// A keeper; `control` is the address at which it takes orders.
+struct KeeperEntry {
   std::string name, zone;
   net::Address control;
   std::vector<std::string> groups;
 };
 
-struct ControlNodeAt {
+struct ControlNodeEntry {
   std::string name, region;
   net::Address address;
-  bool voter = true;  // else it only follows, and gives what it has
+  bool voter = true;  // otherwise it only learns what is agreed, and passes it on
 };
 
+// All lists are in the order of the file.
 struct Fleet {
   std::string name;
   std::vector<std::string> zones, groups;
-  std::vector<ControlNodeAt> control_nodes;
-  std::vector<KeeperAt> keepers;  // both in the file's order
-  const KeeperAt* find(const std::string& keeper) const;
+  std::vector<ControlNodeEntry> control_nodes;
+  std::vector<KeeperEntry> keepers;
+  // The keeper of that name, or nullptr.
+  const KeeperEntry* find(const std::string& keeper) const;
 };
 
-struct Read {
-  std::optional<Fleet> fleet;  // none where there is a fault
+// Either a fleet, or all faults of the document with their lines.
+struct FleetResult {
+  std::optional<Fleet> fleet;
   std::vector<config::Fault> faults;
 };
-Read read_fleet(const std::string& text);
-Read read_fleet_file(const std::string& path);
+FleetResult read_fleet(const std::string& text);
+FleetResult read_fleet_file(const std::string& path);
 
 }  // namespace marbledyke::fleet
--- a/src/fleet/http_client.cpp
+++ b/src/fleet/http_client.cpp
@@ -26,55 +26,55 @@
 
 void HttpClient::call(const net::Address& to, const std::string& method, const std::string& target,
                       const std::string& body, Duration limit, Callback on_response) {
-  QueuedCall what{to,
-                  method + " " + target +
-                      " HTTP/1.1\r\nHost: keeper\r\nConnection: close\r\nContent-Length: " +
-                      std::to_string(body.size()) + "\r\n\r\n" + body,
-                  limit, std::move(on_response)};
-  if (calls_.size() < kMaxConcurrentCalls) return start_call(std::move(what));
-  queue_.push_back(std::move(what));
+  QueuedCall queued{to,
+                    method + " " + target +
+                        " HTTP/1.1\r\nHost: keeper\r\nConnection: close\r\nContent-Length: " +
+                        std::to_string(body.size()) + "\r\n\r\n" + body,
+                    limit, std::move(on_response)};
+  if (calls_.size() < kMaxConcurrentCalls) return start_call(std::move(queued));
+  queue_.push_back(std::move(queued));
 }
 
-void HttpClient::start_call(QueuedCall what) {
+void HttpClient::start_call(QueuedCall queued) {
   auto made = std::make_unique<Call>();
   Call* const call = made.get();
   const std::uint64_t number = call->number = next_number_++;
-  call->on_response = std::move(what.on_response);
+  call->on_response = std::move(queued.on_response);
   calls_.emplace(number, std::move(made));
-  call->limit = loop_.at(loop_.now() + what.limit, [this, number] {
-    finish_call(number, {0, nullptr, "no answer in time"});
+  call->limit = loop_.at(loop_.now() + queued.limit, [this, number] {
+    finish_call(number, {0, nullptr, "no response within the time limit"});
   });
-  net::Descriptor fd = net::start_connect(what.to);
+  net::Descriptor fd = net::start_connect(queued.to);
   if (!fd) {
     const std::string error = std::strerror(errno);
     loop_.at(loop_.now(), [this, number, error] { finish_call(number, {0, nullptr, error}); });
     return;
   }
   call->stream = std::make_unique<net::Stream>(
-      loop_, std::move(fd), false, 64 * 1024, what.bytes.size() + 1,
-      net::Stream::Told{[call, bytes = what.bytes] {
-                          call->stream->out().put(bytes);
-                          call->stream->flush();
-                        },
-                        [this, call] {
-                          net::Ring& in = call->stream->in();
-                          while (!in.empty() && call->reader.state() == net::HttpReader::State::reading)
-                            in.drop(call->reader.take(in.front()));
-                          if (call->reader.state() == net::HttpReader::State::reading) return;
-                          HttpResponse response;
-                          if (call->reader.state() == net::HttpReader::State::done) {
-                            response.status = std::atoi(call->reader.message().second.c_str());
-                            response.body =
-                                nlohmann::json::parse(call->reader.message().body, nullptr, false);
-                          } else {
-                            response.error = "what came cannot be read";
-                          }
-                          finish_call(call->number, std::move(response));
-                        },
-                        nullptr,
-                        [this, number](bool was) {
-                          finish_call(number, {0, nullptr, was ? "the connection ended" : "cannot connect"});
-                        }});
+      loop_, std::move(fd), false, 64 * 1024, queued.bytes.size() + 1,
+      net::Stream::Told{
+          [call, bytes = queued.bytes] {
+            call->stream->out().put(bytes);
+            call->stream->flush();
+          },
+          [this, call] {
+            net::Ring& in = call->stream->in();
+            while (!in.empty() && call->reader.state() == net::HttpReader::State::reading)
+              in.drop(call->reader.take(in.front()));
+            if (call->reader.state() == net::HttpReader::State::reading) return;
+            HttpResponse response;
+            if (call->reader.state() == net::HttpReader::State::done) {
+              response.status = std::atoi(call->reader.message().second.c_str());
+              response.body = nlohmann::json::parse(call->reader.message().body, nullptr, false);
+            } else {
+              response.error = "malformed response";
+            }
+            finish_call(call->number, std::move(response));
+          },
+          nullptr,
+          [this, number](bool was_connected) {
+            finish_call(number, {0, nullptr, was_connected ? "connection closed" : "cannot connect"});
+          }});
 }
 
 void HttpClient::finish_call(std::uint64_t number, HttpResponse response) {
@@ -86,7 +86,8 @@
   if (call->stream) call->stream->close();
   const Callback on_response = std::move(call->on_response);
   finished_.push_back(std::move(call));
-  // Who is told may call anew, and what has just ended is not destroyed while it tells.
+  // Called from a later turn of the loop: the callback may start another call, and the finished one must not
+  // be destroyed while its own stream calls back.
   loop_.at(loop_.now(), [this, on_response, response = std::move(response)] {
     finished_.clear();
     on_response(response);
--- a/src/fleet/http_client.h
+++ b/src/fleet/http_client.h
@@ -1,4 +1,4 @@
-// Calls to keepers: many at once, each answered or given up within its limit. Waits without end are nobody's.
+// HTTP client for calls with JSON to keepers and control nodes: many at a time, each with a time limit.
 #pragma once
 
 #include <cstdint>
@@ -18,11 +18,12 @@
 namespace marbledyke::fleet {
 
 struct HttpResponse {
-  int status = 0;  // 0: none came
+  int status = 0;  // HTTP status; 0: no response arrived
   nlohmann::json body;
-  std::string error;  // of none
+  std::string error;  // why no response arrived
 };
 
+// Destroying the client cancels its calls without calling back.
 class HttpClient {
  public:
   using Callback = std::function<void(const HttpResponse&)>;
@@ -33,7 +34,8 @@
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  // Told once, in a later turn. The limit counts from when the call begins.
+  // Sends a request; `on_response` is called exactly once, from the loop, never from within call(). The limit
+  // starts when the connection is opened: calls beyond kMaxConcurrentCalls are queued before that.
   void call(const net::Address& to, const std::string& method, const std::string& target,
             const std::string& body, Duration limit, Callback on_response);
   std::size_t pending_calls() const { return calls_.size() + queue_.size(); }
--- a/src/fleet/revision_status.cpp
+++ b/src/fleet/revision_status.cpp
@@ -1,4 +1,4 @@
-// Who runs which revision of the fleet's settings, summed over the control nodes.
+// Collects from all control nodes which keeper runs which revision of the fleet's settings.
 #include <algorithm>
 #include <functional>
 #include <limits>
@@ -14,12 +14,12 @@
 using distribution::Revision;
 using nlohmann::json;
 
-constexpr std::int64_t kAbsentMs =
-    8'000;  // a receiver calls every 3 s; not heard for so long, it counts as away
-constexpr std::size_t kMostNamed = 64;  // names of a line
+// A receiver calls every 3 s; one that was not heard of for this long counts as unreachable.
+constexpr std::int64_t kReceiverTimeoutMs = 8'000;
+constexpr std::size_t kMaxListedNames = 64;  // in one line
 
-ReceiverSeen read_receiver(const json& from) {
-  ReceiverSeen out;
+ReceiverStatus read_receiver_status(const json& from) {
+  ReceiverStatus out;
   out.name = config::text(from, "name");
   out.zone = config::text(from, "zone");
   out.why = config::text(from, "why");
@@ -30,24 +30,25 @@
   return out;
 }
 
-// A receiver that has moved is listed by its former node too.
-void merge(std::map<std::string, ReceiverSeen>& into, const json& response) {
+// A receiver that moved to another control node may still be listed by the earlier one; the more recent entry
+// counts.
+void merge_receivers(std::map<std::string, ReceiverStatus>& into, const json& response) {
   for (const json& each : config::array(response, "receivers")) {
-    ReceiverSeen seen = read_receiver(each);
-    const auto at = into.find(seen.name);
+    ReceiverStatus receiver = read_receiver_status(each);
+    const auto at = into.find(receiver.name);
     if (at == into.end()) {
-      const std::string name = seen.name;
-      into.emplace(name, std::move(seen));
-    } else if (seen.heard_ms_ago < at->second.heard_ms_ago) {
-      // What it ran first at another node it has run since then.
-      if (seen.index == at->second.index)
-        seen.in_force_ms_ago = std::max(seen.in_force_ms_ago, at->second.in_force_ms_ago);
-      at->second = std::move(seen);
+      const std::string name = receiver.name;
+      into.emplace(name, std::move(receiver));
+    } else if (receiver.heard_ms_ago < at->second.heard_ms_ago) {
+      // The earlier node knows for how long the revision has been in force.
+      if (receiver.index == at->second.index)
+        receiver.in_force_ms_ago = std::max(receiver.in_force_ms_ago, at->second.in_force_ms_ago);
+      at->second = std::move(receiver);
     }
   }
 }
 
-void take_newest(Spread& into, const std::string& fleet, NodeSeen& node, const json& response) {
+void merge_newest(RevisionStatus& into, const std::string& fleet, NodeStatus& node, const json& response) {
   const json chosen = response.value("chosen", json());
   if (chosen.is_null()) return;
   Revision read = distribution::read_revision(chosen);
@@ -56,45 +57,45 @@
   if (!into.newest || read.index > into.newest->index) into.newest = std::move(read);
 }
 
-void judge(Spread& spread, const Fleet& fleet) {
-  std::map<std::string, const ReceiverSeen*> by_name;
-  for (const ReceiverSeen& one : spread.receivers) by_name[one.name] = &one;
-  spread.since_ms_ago = std::numeric_limits<std::int64_t>::max();
-  for (const KeeperAt& keeper : fleet.keepers) {
+void compare_with_fleet(RevisionStatus& status, const Fleet& fleet) {
+  std::map<std::string, const ReceiverStatus*> by_name;
+  for (const ReceiverStatus& entry : status.receivers) by_name[entry.name] = &entry;
+  status.in_force_everywhere_ms = std::numeric_limits<std::int64_t>::max();
+  for (const KeeperEntry& keeper : fleet.keepers) {
     const auto at = by_name.find(keeper.name);
-    if (at == by_name.end() || at->second->heard_ms_ago > kAbsentMs) {
-      spread.not_heard.push_back(keeper.name);
+    if (at == by_name.end() || at->second->heard_ms_ago > kReceiverTimeoutMs) {
+      status.not_heard.push_back(keeper.name);
       continue;
     }
-    if (!spread.newest || !distribution::meant_for(spread.newest->share, keeper.name)) continue;
-    if (at->second->index != spread.newest->index) spread.behind.push_back(keeper.name);
-    spread.since_ms_ago = std::min(spread.since_ms_ago, at->second->in_force_ms_ago);
+    if (!status.newest || !distribution::meant_for(status.newest->share, keeper.name)) continue;
+    if (at->second->index != status.newest->index) status.behind.push_back(keeper.name);
+    status.in_force_everywhere_ms = std::min(status.in_force_everywhere_ms, at->second->in_force_ms_ago);
   }
 }
 
-// One that has taken a newer revision since refuses nothing any more.
-bool refuses(const ReceiverSeen& one) { return one.refused > one.index; }
+// A refusal is over once a newer revision is in force at the receiver.
+bool is_refusing(const ReceiverStatus& entry) { return entry.refused > entry.index; }
 
-std::string names(const std::vector<std::string>& all) {
+std::string join_names(const std::vector<std::string>& all) {
   std::string out;
-  for (std::size_t i = 0; i < std::min(all.size(), kMostNamed); ++i) out += (i == 0 ? "" : " ") + all[i];
-  if (all.size() > kMostNamed) out += " and " + std::to_string(all.size() - kMostNamed) + " more";
+  for (std::size_t i = 0; i < std::min(all.size(), kMaxListedNames); ++i) out += (i == 0 ? "" : " ") + all[i];
+  if (all.size() > kMaxListedNames) out += " and " + std::to_string(all.size() - kMaxListedNames) + " more";
   return out;
 }
 
 }  // namespace
 
-Spread look(net::Loop& loop, const Fleet& fleet) {
-  Spread out;
-  std::map<std::string, ReceiverSeen> receivers;
-  for (const ControlNodeAt& node : fleet.control_nodes) out.nodes.push_back({node.name, "", 0});
+RevisionStatus fetch_revision_status(net::Loop& loop, const Fleet& fleet) {
+  RevisionStatus out;
+  std::map<std::string, ReceiverStatus> receivers;
+  for (const ControlNodeEntry& node : fleet.control_nodes) out.nodes.push_back({node.name, "", 0});
   HttpClient client(loop);
   loop.read_clock();
   for (std::size_t i = 0; i < fleet.control_nodes.size(); ++i) {
     const auto ask = [&](const char* target, const std::function<void(const json&)>& read) {
-      client.call(fleet.control_nodes[i].address, "GET", target, "", kNodeCall,
+      client.call(fleet.control_nodes[i].address, "GET", target, "", kControlNodeTimeout,
                   [&, i, read](const HttpResponse& response) {
-                    NodeSeen& node = out.nodes[i];
+                    NodeStatus& node = out.nodes[i];
                     try {
                       if (response.status == 200 && response.body.is_object()) return read(response.body);
                       node.why =
@@ -105,67 +106,71 @@
                   });
     };
     ask("/v1/configuration/state",
-        [&, i](const json& response) { take_newest(out, fleet.name, out.nodes[i], response); });
-    ask("/v1/configuration/receivers", [&](const json& response) { merge(receivers, response); });
+        [&, i](const json& response) { merge_newest(out, fleet.name, out.nodes[i], response); });
+    ask("/v1/configuration/receivers", [&](const json& response) { merge_receivers(receivers, response); });
   }
   while (client.pending_calls() > 0) loop.gather();
   loop.at(loop.now(), [] {});
-  loop.gather();  // the last is told in a turn of its own
-  for (auto& [name, seen] : receivers) out.receivers.push_back(std::move(seen));
-  judge(out, fleet);
+  loop.gather();  // the last callback runs in a turn of its own
+  for (auto& [name, receiver] : receivers) out.receivers.push_back(std::move(receiver));
+  compare_with_fleet(out, fleet);
   return out;
 }
 
-nlohmann::json put(const Spread& spread) {
+nlohmann::json to_json(const RevisionStatus& status) {
   json nodes = json::array(), by_index = json::object(), refusing = json::array();
-  for (const NodeSeen& one : spread.nodes)
-    nodes.push_back({{"name", one.name}, {"newest", one.newest}, {"why", one.why}});
+  for (const NodeStatus& entry : status.nodes)
+    nodes.push_back({{"name", entry.name}, {"newest", entry.newest}, {"why", entry.why}});
   std::map<std::int64_t, std::size_t> counted;
-  for (const ReceiverSeen& one : spread.receivers) {
-    if (one.heard_ms_ago <= kAbsentMs) counted[one.index] += 1;
-    if (!refuses(one)) continue;
-    refusing.push_back({{"name", one.name}, {"zone", one.zone}, {"refused", one.refused}, {"why", one.why}});
+  for (const ReceiverStatus& entry : status.receivers) {
+    if (entry.heard_ms_ago <= kReceiverTimeoutMs) counted[entry.index] += 1;
+    if (!is_refusing(entry)) continue;
+    refusing.push_back(
+        {{"name", entry.name}, {"zone", entry.zone}, {"refused", entry.refused}, {"why", entry.why}});
   }
   for (const auto& [index, count] : counted) by_index[std::to_string(index)] = count;
   json out = {{"nodes", nodes},          {"receivers_by_index", by_index},
-              {"refusing", refusing},    {"not_heard", spread.not_heard},
-              {"behind", spread.behind}, {"everywhere", spread.everywhere()}};
-  if (spread.newest) {
-    const Revision& newest = *spread.newest;
+              {"refusing", refusing},    {"not_heard", status.not_heard},
+              {"behind", status.behind}, {"everywhere", status.is_in_force_everywhere()}};
+  if (status.newest) {
+    const Revision& newest = *status.newest;
     out["newest"] = {{"index", newest.index},
                      {"digest", newest.digest},
                      {"share", newest.share},
                      {"author", newest.author},
                      {"made_ms", newest.made_ms}};
   }
-  if (spread.everywhere()) out["everywhere_since_ms_ago"] = spread.since_ms_ago;
+  if (status.is_in_force_everywhere()) out["everywhere_since_ms_ago"] = status.in_force_everywhere_ms;
   return out;
 }
 
-std::vector<std::string> table(const Spread& spread) {
+std::vector<std::string> to_table(const RevisionStatus& status) {
   std::vector<std::string> out;
-  const json sums = put(spread);
-  if (spread.newest) {
+  const json sums = to_json(status);
+  if (status.newest) {
     char share[32];
-    std::snprintf(share, sizeof share, "%g", spread.newest->share);
-    out.push_back("newest: revision " + std::to_string(spread.newest->index) + " of " +
-                  spread.newest->author + ", for a share of " + share);
+    std::snprintf(share, sizeof share, "%g", status.newest->share);
+    out.push_back("newest: revision " + std::to_string(status.newest->index) + " of " +
+                  status.newest->author + ", for a share of " + share);
   } else {
     out.push_back("newest: none");
   }
-  for (const NodeSeen& one : spread.nodes)
-    out.push_back("node " + one.name + ": " +
-                  (one.why.empty() ? "revision " + std::to_string(one.newest) : "NO ANSWER: " + one.why));
+  for (const NodeStatus& entry : status.nodes)
+    out.push_back(
+        "node " + entry.name + ": " +
+        (entry.why.empty() ? "revision " + std::to_string(entry.newest) : "NO ANSWER: " + entry.why));
   for (const auto& [index, count] : sums["receivers_by_index"].items())
     out.push_back("revision " + index + ": " + std::to_string(count.get<std::size_t>()) + " keepers");
-  for (const ReceiverSeen& one : spread.receivers) {
-    if (refuses(one))
-      out.push_back("REFUSED by " + one.name + ": revision " + std::to_string(one.refused) + ": " + one.why);
+  for (const ReceiverStatus& entry : status.receivers) {
+    if (is_refusing(entry))
+      out.push_back("REFUSED by " + entry.name + ": revision " + std::to_string(entry.refused) + ": " +
+                    entry.why);
   }
-  if (!spread.behind.empty()) out.push_back("not there yet: " + names(spread.behind));
-  if (!spread.not_heard.empty()) out.push_back("NOT HEARD OF: " + names(spread.not_heard));
-  out.push_back(spread.everywhere() ? "in force everywhere for " + ago(spread.since_ms_ago)
-                                    : "not in force everywhere");
+  if (!status.behind.empty()) out.push_back("not there yet: " + join_names(status.behind));
+  if (!status.not_heard.empty()) out.push_back("NOT HEARD OF: " + join_names(status.not_heard));
+  out.push_back(status.is_in_force_everywhere()
+                    ? "in force everywhere for " + format_age(status.in_force_everywhere_ms)
+                    : "not in force everywhere");
   return out;
 }
 
--- a/src/fleet/rollout.cpp
+++ b/src/fleet/rollout.cpp
@@ -21,19 +21,22 @@
 using rollout::Action;
 using rollout::State;
 
-constexpr Duration kBeat = 1s;
-constexpr Duration kLimit = 2s;
-constexpr Duration kKnown = 5s;             // at its start it hears whoever can be heard for so long
-constexpr std::int64_t kSilentMs = 15'000;  // a changed process that tells no window for so long
-constexpr Duration kFetched = 3s;           // its windows were fetched within this
-constexpr std::size_t kMostState = 4 * 1024 * 1024;
+constexpr Duration kPollInterval = 1s;
+constexpr Duration kCallTimeout = 2s;
+// At its start the runner waits this long for answers of all keepers.
+constexpr Duration kDiscoveryTime = 5s;
+// A changed process that has reported no window for this long is taken as failed.
+constexpr std::int64_t kMissingWindowsMs = 15'000;
+// Windows count as missing only if a request for them was answered within this time.
+constexpr Duration kWindowsFreshFor = 3s;
+constexpr std::size_t kMaxStateBytes = 4 * 1024 * 1024;
 
 std::string state_file(const std::string& folder) { return folder + "/rollout"; }
 
 }  // namespace
 
-Rollout::Rollout(net::Loop& loop, disk::Disk& disk, const Fleet& fleet, const rollout::Plan& plan,
-                 const std::string& folder)
+RolloutRunner::RolloutRunner(net::Loop& loop, disk::Disk& disk, const Fleet& fleet, const rollout::Plan& plan,
+                             const std::string& folder)
     : loop_(loop),
       disk_(disk),
       fleet_(fleet),
@@ -41,7 +44,8 @@
       folder_(folder),
       members_([&] {
         std::vector<rollout::Member> out;
-        for (const KeeperAt& keeper : fleet.keepers) out.push_back({keeper.name, keeper.zone, keeper.groups});
+        for (const KeeperEntry& keeper : fleet.keepers)
+          out.push_back({keeper.name, keeper.zone, keeper.groups});
         return out;
       }()),
       aggregator_(plan, members_),
@@ -49,78 +53,77 @@
   disk_.make_directory(folder_);
   lock_ = net::Descriptor(open((folder_ + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
   if (!lock_ || flock(lock_.get(), LOCK_EX | LOCK_NB) != 0)
-    throw config::BadInput(folder_ + ": another conductor has it");
-  if (const auto text = disk_.read_file(state_file(folder_), kMostState)) {
+    throw config::BadInput(folder_ + ": in use by another controller");
+  if (const auto text = disk_.read_file(state_file(folder_), kMaxStateBytes)) {
     const json before = config::parse(*text);
     const rollout::SavedState saved = rollout::read_saved_state(config::object(before, "kept"));
     const bool over =
         saved.state == State::done || saved.state == State::returned || saved.state == State::refused;
     if (before.value("plan", "") == plan_.name) {
       saved_ = saved;
-      found_ = true;
+      resumed_ = true;
     } else if (!over) {
       throw config::BadInput(folder_ + ": " + before.value("plan", "") +
-                             " is not over there: " + rollout::name_of(saved.state));
+                             " is not over in this directory: " + rollout::name_of(saved.state));
     }
   }
   loop_.read_clock();
-  begun_ = loop_.now();
-  beat();
+  started_at_ = loop_.now();
+  poll();
 }
 
-Rollout::~Rollout() { loop_.cancel(beat_); }
+RolloutRunner::~RolloutRunner() { loop_.cancel(poll_timer_); }
 
-void Rollout::beat() {
+void RolloutRunner::poll() {
   const std::int64_t now_ms = loop_.clock().wall() / 1ms;
-  for (const KeeperAt& keeper : fleet_.keepers) ask(keeper);
-  begin_when_known();
+  for (const KeeperEntry& keeper : fleet_.keepers) request_status(keeper);
+  start_when_epochs_known();
   if (controller_ != nullptr) {
-    heed();
+    read_command();
     aggregator_.advance(now_ms);
     controller_->on_tick(loop_.now(), loop_.clock().wall());
-    judge();
-    carry_out();
+    evaluate();
+    carry_out_actions();
   }
-  beat_ = loop_.at(loop_.now() + kBeat, [this] { beat(); });
+  poll_timer_ = loop_.at(loop_.now() + kPollInterval, [this] { poll(); });
 }
 
-// ---- what keepers say ----
-
-void Rollout::ask(const KeeperAt& keeper) {
-  Seen& seen = seen_[keeper.name];
-  if (std::exchange(seen.asking, true)) return;
-  client_.call(keeper.control, "GET", "/status", "", kLimit, [this, &keeper](const HttpResponse& response) {
-    seen_[keeper.name].asking = false;
-    if (response.status != 200 || !response.body.is_object()) return;
-    try {
-      status_came(keeper, response.body);
-    } catch (const std::exception& wrong) {
-      remember(keeper.name + ": its status cannot be read: " + wrong.what());
-    }
-  });
-  client_.call(keeper.control, "GET", "/windows?from_ms=" + std::to_string(seen.windows_from), "", kLimit,
+void RolloutRunner::request_status(const KeeperEntry& keeper) {
+  KeeperProgress& progress = progress_[keeper.name];
+  if (std::exchange(progress.status_pending, true)) return;
+  client_.call(keeper.control, "GET", "/status", "", kCallTimeout,
                [this, &keeper](const HttpResponse& response) {
+                 progress_[keeper.name].status_pending = false;
+                 if (response.status != 200 || !response.body.is_object()) return;
+                 try {
+                   on_status(keeper, response.body);
+                 } catch (const std::exception& error) {
+                   append_history(keeper.name + ": malformed status: " + error.what());
+                 }
+               });
+  client_.call(keeper.control, "GET", "/windows?from_ms=" + std::to_string(progress.windows_from), "",
+               kCallTimeout, [this, &keeper](const HttpResponse& response) {
                  if (response.status != 200 || !response.body.is_object()) return;
-                 seen_[keeper.name].windows_heard = loop_.now();
+                 progress_[keeper.name].windows_received = loop_.now();
                  try {
-                   windows_came(keeper.name, response.body);
-                 } catch (const std::exception& wrong) {
-                   remember(keeper.name + ": its windows cannot be read: " + wrong.what());
+                   on_windows(keeper.name, response.body);
+                 } catch (const std::exception& error) {
+                   append_history(keeper.name + ": malformed windows: " + error.what());
                  }
                });
 }
 
-void Rollout::status_came(const KeeperAt& keeper, const json& status) {
-  Seen& seen = seen_[keeper.name];
+void RolloutRunner::on_status(const KeeperEntry& keeper, const json& status) {
+  KeeperProgress& progress = progress_[keeper.name];
   const json order = status.value("order", json::object());
-  seen.epoch = order.value("epoch", std::uint64_t{0});
+  progress.epoch = order.value("epoch", std::uint64_t{0});
   rollout::KeeperReport report;
   report.active_version = status.value("in_force", "");
   report.keeper_started_ms = status.value("keeper", json::object()).value("since_ms", std::int64_t{0});
   report.previous_version = status.value("former", "");
   report.outcome = status.value("outcome", "");
   report.reason = status.value("why", "");
-  report.order_epoch = seen.epoch;
+  report.order_epoch = progress.epoch;
   report.order_number = order.value("number", std::uint64_t{0});
   report.gave_up = status.value("gave_up", false);
   report.process_exits = status.value("ends", std::uint64_t{0});
@@ -139,56 +142,54 @@
                                   one.value("rss_bytes", 0.0));
   }
   if (controller_ == nullptr) return;
-  const bool was = controller_->changed_keepers().contains(keeper.name);
+  const bool was_changed = controller_->changed_keepers().contains(keeper.name);
   controller_->on_report(keeper.name, report);
-  const bool is = controller_->changed_keepers().contains(keeper.name);
-  if (is && !was) seen.ends_at_change = report.process_exits;
-  // What needs no statistics.
+  const bool is_changed = controller_->changed_keepers().contains(keeper.name);
+  if (is_changed && !was_changed) progress.exits_at_change = report.process_exits;
+  // Faults that need no statistics.
   rollout::Judge* const judge = aggregator_.judge();
-  if (!is || judge == nullptr) return;
-  if (report.broken_invariants > 0) judge->stop_immediately(keeper.name + ": a broken invariant");
-  if (report.process_exits > seen.ends_at_change)
-    judge->stop_immediately(keeper.name + ": its process ended by itself");
-  // What could not be fetched is not what was not told.
-  const bool fetched = seen.windows_heard && loop_.now() - *seen.windows_heard < kFetched;
+  if (!is_changed || judge == nullptr) return;
+  if (report.broken_invariants > 0) judge->stop_immediately(keeper.name + ": an invariant is broken");
+  if (report.process_exits > progress.exits_at_change)
+    judge->stop_immediately(keeper.name + ": its process exited unexpectedly");
+  // Windows that could not be fetched are not missing.
+  const bool fetched =
+      progress.windows_received && loop_.now() - *progress.windows_received < kWindowsFreshFor;
   const std::int64_t newest = aggregator_.newest_window_ms(keeper.name);
-  if (fetched && newest > 0 && loop_.clock().wall() / 1ms - newest > kSilentMs)
-    judge->stop_immediately(keeper.name + ": it tells nothing any more");
+  if (fetched && newest > 0 && loop_.clock().wall() / 1ms - newest > kMissingWindowsMs)
+    judge->stop_immediately(keeper.name + ": no windows are reported any more");
 }
 
-void Rollout::windows_came(const std::string& keeper, const json& said) {
-  Seen& seen = seen_[keeper];
-  const std::int64_t ahead = said.value("wall_ms", std::int64_t{0}) - loop_.clock().wall() / 1ms;
-  for (const json& one : config::array(said, "windows")) {
+void RolloutRunner::on_windows(const std::string& keeper, const json& windows) {
+  KeeperProgress& progress = progress_[keeper];
+  const std::int64_t ahead = windows.value("wall_ms", std::int64_t{0}) - loop_.clock().wall() / 1ms;
+  for (const json& one : config::array(windows, "windows")) {
     const totals::Window window = totals::read_window(one);
     aggregator_.on_window(keeper, one.value("version", ""), one.value("since_ms", std::int64_t{0}), ahead,
                           window);
-    // Asked for once more while its process may still tell of it late.
-    seen.windows_from = std::max(seen.windows_from, window.start_ms - 3000);
+    // Recent seconds are asked for again, since the process may still add late totals to them.
+    progress.windows_from = std::max(progress.windows_from, window.start_ms - 3000);
   }
 }
 
-// ---- what is decided ----
-
-// The epoch has to be above all that any keeper has seen, so whoever can be heard is heard first.
-void Rollout::begin_when_known() {
-  if (controller_ != nullptr || loop_.now() - begun_ < kKnown) return;
+void RolloutRunner::start_when_epochs_known() {
+  if (controller_ != nullptr || loop_.now() - started_at_ < kDiscoveryTime) return;
   std::uint64_t epoch = saved_.epoch;
-  for (const auto& [name, seen] : seen_) epoch = std::max(epoch, seen.epoch);
+  for (const auto& [name, progress] : progress_) epoch = std::max(epoch, progress.epoch);
   controller_ = std::make_unique<rollout::Controller>(plan_, members_, saved_, epoch + 1, loop_.now(),
                                                       loop_.clock().wall());
-  remember(std::string(found_ ? "taken over, epoch " : "begun, epoch ") + std::to_string(epoch + 1));
-  watched_from_ = loop_.clock().wall() / 1ms;
+  append_history(std::string(resumed_ ? "resumed, epoch " : "started, epoch ") + std::to_string(epoch + 1));
+  baseline_from_ms_ = loop_.clock().wall() / 1ms;
   controller_->start();
-  carry_out();
+  carry_out_actions();
 }
 
-void Rollout::judge() {
+void RolloutRunner::evaluate() {
   const State state = controller_->state();
-  if (state == State::watching) watched_until_ = loop_.clock().wall() / 1ms;
-  if (state == State::swapping && swapping_since_ == 0) swapping_since_ = loop_.clock().wall() / 1ms;
-  if (state != State::swapping && state != State::paused) swapping_since_ = 0;
-  // A successor has nothing from before the change: it soaks anew, against nothing but the other side.
+  if (state == State::watching) baseline_until_ms_ = loop_.clock().wall() / 1ms;
+  if (state == State::swapping && swapping_since_ms_ == 0) swapping_since_ms_ = loop_.clock().wall() / 1ms;
+  if (state != State::swapping && state != State::paused) swapping_since_ms_ = 0;
+  // A successor has no baseline: the stage soaks again, and the two sides are compared only with each other.
   if ((state == State::soaking || state == State::paused) && aggregator_.judge() == nullptr &&
       controller_->saved().stage >= 0) {
     std::set<std::string> changed;
@@ -205,46 +206,48 @@
   if (controller_->saved().stage >= 0) controller_->on_finding(finding);
 }
 
-void Rollout::carry_out() {
+void RolloutRunner::carry_out_actions() {
   while (const auto action = controller_->next_action()) {
     switch (action->kind) {
       case Action::Kind::save_state:
         write_state();
         break;
       case Action::Kind::log:
-        remember(action->reason);
+        append_history(action->reason);
         break;
       case Action::Kind::take:
-        order(*action, {{"order", "take"}, {"version", action->version}, {"from", plan_.source_folder}});
+        send_order(*action, {{"order", "take"}, {"version", action->version}, {"from", plan_.source_folder}});
         break;
       case Action::Kind::verify:
-        order(*action, {{"order", "try"}, {"version", action->version}});
+        send_order(*action, {{"order", "try"}, {"version", action->version}});
         break;
       case Action::Kind::use: {
-        // A keeper that hears nothing any more takes it back by itself.
+        // The trial outlasts any wait; a keeper that receives no confirmation until then rolls back by
+        // itself.
         Duration trial = plan_.swap_timeout + plan_.burn_in + plan_.max_wait;
         for (const rollout::StagePlan& stage : plan_.stages)
           trial = std::max(trial, plan_.swap_timeout + plan_.burn_in + plan_.max_wait + stage.soak);
-        order(*action, {{"order", "use"},
-                        {"version", action->version},
-                        {"trial_ms", trial / 1ms},
-                        {"if_in_force", controller_->saved().previous_versions.at(action->keeper)}});
+        send_order(*action, {{"order", "use"},
+                             {"version", action->version},
+                             {"trial_ms", trial / 1ms},
+                             {"if_in_force", controller_->saved().previous_versions.at(action->keeper)}});
         break;
       }
       case Action::Kind::confirm:
-        order(*action, {{"order", "confirm"}});
+        send_order(*action, {{"order", "confirm"}});
         break;
       case Action::Kind::roll_back:
-        order(*action, {{"order", "use"}, {"version", action->version}});
+        send_order(*action, {{"order", "use"}, {"version", action->version}});
         break;
       case Action::Kind::start_comparison: {
         std::set<std::string> changed;
         for (const auto& [name, when] : controller_->changed_keepers()) changed.insert(name);
-        // A successor was not there before the first change: it takes what was right before this stage's,
-        // which its keepers still have.
-        const bool there = watched_until_ > 0;
-        const std::int64_t until = there ? watched_until_ : swapping_since_;
-        aggregator_.start_comparison(changed, there ? watched_from_ : until - plan_.baseline_time / 1ms,
+        // A successor did not record the time before the first change. Its baseline is the time right before
+        // this stage, whose windows the keepers still have.
+        const bool has_baseline = baseline_until_ms_ > 0;
+        const std::int64_t until = has_baseline ? baseline_until_ms_ : swapping_since_ms_;
+        aggregator_.start_comparison(changed,
+                                     has_baseline ? baseline_from_ms_ : until - plan_.baseline_time / 1ms,
                                      until, loop_.clock().wall() / 1ms);
         break;
       }
@@ -253,40 +256,39 @@
   write_state();
 }
 
-void Rollout::order(const Action& action, json what) {
+void RolloutRunner::send_order(const Action& action, json order) {
   const std::string name = action.keeper;
-  const KeeperAt* const keeper = fleet_.find(name);
-  what["epoch"] = controller_->saved().epoch;
-  what["number"] = action.number;
-  // Held on its way for longer than this it does nothing.
-  what["not_after_ms"] = loop_.clock().wall() / 1ms + 60'000;
-  orders_out_ += 1;
-  const std::string kind = what["order"];
-  client_.call(keeper->control, "POST", "/order", what.dump(), kLimit,
+  const KeeperEntry* const keeper = fleet_.find(name);
+  order["epoch"] = controller_->saved().epoch;
+  order["number"] = action.number;
+  // An order that is delayed for longer than this has no effect.
+  order["not_after_ms"] = loop_.clock().wall() / 1ms + 60'000;
+  pending_orders_ += 1;
+  const std::string kind = order["order"];
+  client_.call(keeper->control, "POST", "/order", order.dump(), kCallTimeout,
                [this, name, kind](const HttpResponse& response) {
-                 orders_out_ -= 1;
-                 remember(name + ": " + kind + ": " +
-                          (response.status == 0 ? response.error
-                           : response.body.is_object()
-                               ? response.body.value("verdict", response.body.value("error", ""))
-                               : ""));
+                 pending_orders_ -= 1;
+                 append_history(name + ": " + kind + ": " +
+                                (response.status == 0 ? response.error
+                                 : response.body.is_object()
+                                     ? response.body.value("verdict", response.body.value("error", ""))
+                                     : ""));
                });
 }
 
-// What a person says comes as a file with a word in it.
-void Rollout::heed() {
+void RolloutRunner::read_command() {
   const std::string path = folder_ + "/told";
-  const auto word = disk_.read_file(path, 100);
-  if (!word) return;
+  const auto command = disk_.read_file(path, 100);
+  if (!command) return;
   disk_.remove_all(path);
-  const std::string said = word->substr(0, word->find('\n'));
-  remember("told: " + said);
-  if (said == "pause") controller_->pause();
-  if (said == "resume") controller_->resume();
-  if (said == "back") controller_->roll_back("by hand");
+  const std::string name = command->substr(0, command->find('\n'));
+  append_history("command: " + name);
+  if (name == "pause") controller_->pause();
+  if (name == "resume") controller_->resume();
+  if (name == "back") controller_->roll_back("by hand");
 }
 
-void Rollout::write_state() {
+void RolloutRunner::write_state() {
   json lines = json::array();
   if (aggregator_.judge() != nullptr) {
     for (const rollout::Judge::Comparison& line : aggregator_.judge()->comparisons())
@@ -307,32 +309,30 @@
                     {"compared", std::move(lines)}};
   try {
     disk_.replace_file(state_file(folder_), out.dump() + "\n", 0600);
-    state_wrong_ = false;
-  } catch (const disk::DiskError& wrong) {
-    if (!std::exchange(state_wrong_, true)) std::cerr << "marbledyke-fleet: " << wrong.what() << '\n';
+    state_write_failed_ = false;
+  } catch (const disk::DiskError& error) {
+    if (!std::exchange(state_write_failed_, true)) std::cerr << "marbledyke-fleet: " << error.what() << '\n';
   }
 }
 
-void Rollout::remember(const std::string& what) {
+void RolloutRunner::append_history(const std::string& line) {
   const std::int64_t ms = loop_.clock().wall() / 1ms;
   char when[32];
   std::snprintf(when, sizeof when, "%lld.%03lld ", static_cast<long long>(ms / 1000),
                 static_cast<long long>(ms % 1000));
-  std::ofstream(folder_ + "/history", std::ios::app) << when << plan_.name << ": " << what << '\n';
-  std::cout << when << what << std::endl;
+  std::ofstream(folder_ + "/history", std::ios::app) << when << plan_.name << ": " << line << '\n';
+  std::cout << when << line << std::endl;
 }
 
-// ---- the commands ----
-
 namespace {
 
 std::vector<rollout::Member> members_of(const Fleet& fleet) {
   std::vector<rollout::Member> out;
-  for (const KeeperAt& keeper : fleet.keepers) out.push_back({keeper.name, keeper.zone, keeper.groups});
+  for (const KeeperEntry& keeper : fleet.keepers) out.push_back({keeper.name, keeper.zone, keeper.groups});
   return out;
 }
 
-bool objected(const Fleet& fleet, const rollout::Plan& plan) {
+bool print_plan_errors(const Fleet& fleet, const rollout::Plan& plan) {
   const std::vector<std::string> why = rollout::plan_errors(plan, members_of(fleet));
   for (const std::string& one : why) std::cerr << plan.name << ": " << one << '\n';
   return !why.empty();
@@ -354,23 +354,23 @@
     for (const std::string& name : stages[i]) std::cout << ' ' << name;
     std::cout << '\n';
   }
-  std::cout << "in all at least " << least / 1s << " s; a sound change is stopped in "
+  std::cout << "in total at least " << least / 1s << " s; a sound change is stopped in "
             << plan.limits.false_stop_probability * 100 << "% of rollouts at most\n";
-  return objected(fleet, plan) ? 1 : 0;
+  return print_plan_errors(fleet, plan) ? 1 : 0;
 }
 
 int rollout_start(const Fleet& fleet, const rollout::Plan& plan, const std::string& folder) {
-  if (objected(fleet, plan)) return 1;
+  if (print_plan_errors(fleet, plan)) return 1;
   disk::LocalDisk disk;
   net::Loop loop;
   try {
-    Rollout rollout(loop, disk, fleet, plan, folder);
-    while (!rollout.over()) loop.gather();
+    RolloutRunner rollout(loop, disk, fleet, plan, folder);
+    while (!rollout.is_over()) loop.gather();
     const rollout::SavedState& saved = rollout.controller()->saved();
     std::cout << rollout::name_of(saved.state) << (saved.reason.empty() ? "" : ": " + saved.reason) << '\n';
     return saved.state == State::done ? 0 : saved.state == State::held ? 3 : 1;
-  } catch (const std::exception& wrong) {
-    std::cerr << "marbledyke-fleet: " << wrong.what() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << "marbledyke-fleet: " << error.what() << '\n';
     return 2;
   }
 }
@@ -378,9 +378,9 @@
 int rollout_status(const std::string& folder, bool as_json) {
   disk::LocalDisk disk;
   try {
-    const auto text = disk.read_file(state_file(folder), kMostState);
+    const auto text = disk.read_file(state_file(folder), kMaxStateBytes);
     if (!text) {
-      std::cerr << "marbledyke-fleet: " << folder << ": no rollout there\n";
+      std::cerr << "marbledyke-fleet: " << folder << ": no rollout in this directory\n";
       return 2;
     }
     const json state = config::parse(*text);
@@ -395,25 +395,25 @@
               << (saved.reason.empty() ? "" : "; " + saved.reason) << '\n'
               << "judge: " << state.value("finding", "") << '\n';
     if (now - state.value("wall_ms", now) > 10'000)
-      std::cout << "nobody conducts it: its state is " << (now - state.value("wall_ms", now)) / 1000
+      std::cout << "no controller is running: the state is " << (now - state.value("wall_ms", now)) / 1000
                 << " s old\n";
     for (const auto& [name, at] : saved.keepers)
       std::cout << "  " << name << ": " << rollout::name_of(at) << '\n';
     return 0;
-  } catch (const std::exception& wrong) {
-    std::cerr << "marbledyke-fleet: " << wrong.what() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << "marbledyke-fleet: " << error.what() << '\n';
     return 2;
   }
 }
 
-int rollout_tell(const std::string& folder, const std::string& word) {
+int rollout_command(const std::string& folder, const std::string& command) {
   disk::LocalDisk disk;
   try {
-    disk.replace_file(folder + "/told", word + "\n", 0600);
+    disk.replace_file(folder + "/told", command + "\n", 0600);
     std::cout << "told\n";
     return 0;
-  } catch (const disk::DiskError& wrong) {
-    std::cerr << "marbledyke-fleet: " << wrong.what() << '\n';
+  } catch (const disk::DiskError& error) {
+    std::cerr << "marbledyke-fleet: " << error.what() << '\n';
     return 2;
   }
 }
@@ -421,7 +421,7 @@
 int rollout_history(const std::string& folder) {
   std::ifstream in(folder + "/history");
   if (!in) {
-    std::cerr << "marbledyke-fleet: " << folder << ": no history there\n";
+    std::cerr << "marbledyke-fleet: " << folder << ": no history in this directory\n";
     return 2;
   }
   std::cout << in.rdbuf();
--- a/src/fleet/rollout.h
+++ b/src/fleet/rollout.h
@@ -1,6 +1,6 @@
-// Carries out a rolling change over a fleet's keepers: asks them, gives their windows to the judge and what
-// they say to the conductor, and gives the orders that it decides on. Its state is in a folder; one conductor
-// a folder.
+// Carries out a rollout over a fleet's keepers: polls them, passes their windows to the judge and their
+// status to the controller, and sends the orders that the controller decides on. The state is kept in a
+// directory, which only one runner may use at a time.
 #pragma once
 
 #include <memory>
@@ -15,38 +15,42 @@
 
 namespace marbledyke::fleet {
 
-class Rollout {
+class RolloutRunner {
  public:
-  // Throws config::BadInput where another conductor has the folder, or it holds another rollout that is not
-  // over.
-  Rollout(net::Loop& loop, disk::Disk& disk, const Fleet& fleet, const rollout::Plan& plan,
-          const std::string& folder);
-  ~Rollout();
-  Rollout(const Rollout&) = delete;
-  Rollout& operator=(const Rollout&) = delete;
+  // All references have to outlive the runner. Throws config::BadInput where another process uses the
+  // directory, or it holds another rollout that is not over.
+  RolloutRunner(net::Loop& loop, disk::Disk& disk, const Fleet& fleet, const rollout::Plan& plan,
+                const std::string& folder);
+  ~RolloutRunner();
+  RolloutRunner(const RolloutRunner&) = delete;
+  RolloutRunner& operator=(const RolloutRunner&) = delete;
 
-  bool over() const { return controller_ != nullptr && controller_->is_over() && orders_out_ == 0; }
+  bool is_over() const { return controller_ != nullptr && controller_->is_over() && pending_orders_ == 0; }
   const rollout::Controller* controller() const { return controller_.get(); }
 
  private:
-  struct Seen {
-    std::int64_t windows_from = 0;
-    std::uint64_t epoch = 0;  // of the last order it took
-    std::uint64_t ends_at_change = 0;
-    std::optional<Duration> windows_heard;  // the last call for them that was answered
-    bool asking = false;
+  // What was received from a keeper.
+  struct KeeperProgress {
+    std::int64_t windows_from = 0;             // start (ms) of the first window to ask for
+    std::uint64_t epoch = 0;                   // of the last order that it took
+    std::uint64_t exits_at_change = 0;         // process exits counted when it was changed
+    std::optional<Duration> windows_received;  // when the last request for windows was answered
+    bool status_pending = false;
   };
-  void beat();
-  void ask(const KeeperAt& keeper);
-  void status_came(const KeeperAt& keeper, const nlohmann::json& status);
-  void windows_came(const std::string& keeper, const nlohmann::json& windows);
-  void begin_when_known();
-  void judge();
-  void carry_out();
-  void order(const rollout::Action& action, nlohmann::json what);
-  void heed();
+  void poll();
+  void request_status(const KeeperEntry& keeper);
+  void on_status(const KeeperEntry& keeper, const nlohmann::json& status);
+  void on_windows(const std::string& keeper, const nlohmann::json& windows);
+  // Creates the controller once every reachable keeper has answered, since its epoch must exceed all of
+  // theirs.
+  void start_when_epochs_known();
+  void evaluate();
+  void carry_out_actions();
+  void send_order(const rollout::Action& action, nlohmann::json order);
+  // Takes a command that rollout_command() left in the directory.
+  void read_command();
   void write_state();
-  void remember(const std::string& what);
+  void append_history(const std::string& line);
 
   net::Loop& loop_;
   disk::Disk& disk_;
@@ -56,24 +60,25 @@
   net::Descriptor lock_;
   std::vector<rollout::Member> members_;
   rollout::SavedState saved_;
-  bool found_ = false;  // a rollout that a former conductor had under way
+  bool resumed_ = false;  // the directory held the same rollout already
   std::unique_ptr<rollout::Controller> controller_;
   rollout::WindowAggregator aggregator_;
   HttpClient client_;
-  std::map<std::string, Seen> seen_;
-  Duration begun_{};
-  std::int64_t watched_from_ = 0, watched_until_ = 0, swapping_since_ = 0;
+  std::map<std::string, KeeperProgress> progress_;
+  Duration started_at_{};
+  std::int64_t baseline_from_ms_ = 0, baseline_until_ms_ = 0, swapping_since_ms_ = 0;
   std::string finding_;
-  int orders_out_ = 0;
-  bool state_wrong_ = false;
-  net::Loop::Timer beat_{};
+  int pending_orders_ = 0;
+  bool state_write_failed_ = false;
+  net::Loop::Timer poll_timer_{};
 };
 
-// The commands: what they print, and their exit status. `word` of tell: pause, resume or back.
+// The commands. Each prints its result and returns the exit status of the process. `command` is pause, resume
+// or back.
 int rollout_plan(const Fleet& fleet, const rollout::Plan& plan);
 int rollout_start(const Fleet& fleet, const rollout::Plan& plan, const std::string& folder);
 int rollout_status(const std::string& folder, bool as_json);
-int rollout_tell(const std::string& folder, const std::string& word);
+int rollout_command(const std::string& folder, const std::string& command);
 int rollout_history(const std::string& folder);
 
 }  // namespace marbledyke::fleet
--- a/src/fleet/view.cpp
+++ b/src/fleet/view.cpp
@@ -8,17 +8,17 @@
 
 using nlohmann::json;
 
-std::string text(const json& from, const char* key, const std::string& otherwise = "") {
+std::string text_field(const json& from, const char* key, const std::string& default_value = "") {
   const auto at = from.find(key);
-  return at != from.end() && at->is_string() ? at->get<std::string>() : otherwise;
+  return at != from.end() && at->is_string() ? at->get<std::string>() : default_value;
 }
 
-double number(const json& from, const char* key) {
+double number_field(const json& from, const char* key) {
   const auto at = from.find(key);
   return at != from.end() && at->is_number() ? at->get<double>() : 0;
 }
 
-const json* leader(const json& status) {
+const json* leading_process(const json& status) {
   const auto processes = status.find("processes");
   if (processes == status.end()) return nullptr;
   for (const json& one : *processes) {
@@ -27,16 +27,16 @@
   return nullptr;
 }
 
-// In one word, the worst first.
+// The state of a reachable keeper for the table; where several apply, the worst.
 std::string state_of(const json& status) {
-  const json* const process = leader(status);
+  const json* const process = leading_process(status);
   if (status.value("gave_up", false)) return "given up";
   if (process == nullptr) return status.value("wanted", false) ? "down" : "off";
-  const std::string life = text(*process, "life");
+  const std::string life = text_field(*process, "life");
   if (life != "serving") return life;
   if (!process->value("healthy", false)) return "not healthy";
-  if (text(*process, "answers") == "no") return "mute";
-  const std::string outcome = text(status, "outcome");
+  if (text_field(*process, "answers") == "no") return "mute";
+  const std::string outcome = text_field(status, "outcome");
   if (outcome == "under_way" || outcome == "returning" || outcome == "held" || outcome == "on_trial")
     return outcome;
   return "serves";
@@ -49,95 +49,95 @@
   return out;
 }
 
-std::string fixed(const char* form, double value) {
+std::string fixed(const char* format, double value) {
   char out[32];
-  std::snprintf(out, sizeof out, form, value);
+  std::snprintf(out, sizeof out, format, value);
   return out;
 }
 
 }  // namespace
 
-std::string ago(std::int64_t ms) {
-  const std::int64_t s = std::max<std::int64_t>(ms / 1000, 0);
-  if (s < 120) return std::to_string(s) + " s";
-  if (s < 7200) return std::to_string(s / 60) + " min";
-  if (s < 172'800) return std::to_string(s / 3600) + " h";
-  return std::to_string(s / 86'400) + " d";
+std::string format_age(std::int64_t ms) {
+  const std::int64_t seconds = std::max<std::int64_t>(ms / 1000, 0);
+  if (seconds < 120) return std::to_string(seconds) + " s";
+  if (seconds < 7200) return std::to_string(seconds / 60) + " min";
+  if (seconds < 172'800) return std::to_string(seconds / 3600) + " h";
+  return std::to_string(seconds / 86'400) + " d";
 }
 
-void View::answered(const std::string& keeper, const json& status, std::int64_t now_ms) {
-  Seen& seen = seen_[keeper];
-  if (!seen.reachable) seen.since_ms = now_ms;
-  seen.reachable = true;
-  seen.answered_ms = now_ms;
-  seen.why.clear();
-  seen.status = status;
+void FleetView::on_status(const std::string& keeper, const json& status, std::int64_t now_ms) {
+  KeeperObservation& observation = observations_[keeper];
+  if (!observation.reachable) observation.since_ms = now_ms;
+  observation.reachable = true;
+  observation.answered_ms = now_ms;
+  observation.error.clear();
+  observation.status = status;
 }
 
-void View::silent(const std::string& keeper, const std::string& why, std::int64_t now_ms) {
-  Seen& seen = seen_[keeper];
-  if (seen.reachable || seen.since_ms == 0) seen.since_ms = now_ms;
-  seen.reachable = false;
-  seen.why = why;
+void FleetView::on_unreachable(const std::string& keeper, const std::string& error, std::int64_t now_ms) {
+  KeeperObservation& observation = observations_[keeper];
+  if (observation.reachable || observation.since_ms == 0) observation.since_ms = now_ms;
+  observation.reachable = false;
+  observation.error = error;
 }
 
-const Seen* View::seen(const std::string& keeper) const {
-  const auto at = seen_.find(keeper);
-  return at == seen_.end() ? nullptr : &at->second;
+const KeeperObservation* FleetView::observation(const std::string& keeper) const {
+  const auto at = observations_.find(keeper);
+  return at == observations_.end() ? nullptr : &at->second;
 }
 
-int View::verdict() const {
+int FleetView::exit_status() const {
   int out = 0;
-  for (const KeeperAt& keeper : fleet_.keepers) {
-    const Seen* const one = seen(keeper.name);
-    if (one == nullptr || !one->reachable) return 2;
-    const std::string state = state_of(one->status);
+  for (const KeeperEntry& keeper : fleet_.keepers) {
+    const KeeperObservation* const seen = observation(keeper.name);
+    if (seen == nullptr || !seen->reachable) return 2;
+    const std::string state = state_of(seen->status);
     if (state != "serves" && state != "off") out = 1;
   }
   return out;
 }
 
-std::vector<std::string> View::table(std::int64_t now_ms, std::size_t width) const {
+std::vector<std::string> FleetView::table(std::int64_t now_ms, std::size_t width) const {
   std::vector<std::vector<std::string>> rows{{"KEEPER", "ZONE", "STATE", "VERSION", "SINCE", "ASKED/S",
                                               "GOOD", "P99 MS", "BACK", "MB", "ENDS", "ORDER"}};
-  double taken = 0, good = 0;
+  double received = 0, good = 0;
   std::map<std::string, int> versions, states;
-  for (const KeeperAt& keeper : fleet_.keepers) {
-    const Seen* const one = seen(keeper.name);
-    if (one == nullptr || !one->reachable) {
-      const std::string since = one == nullptr ? "not asked" : "for " + ago(now_ms - one->since_ms);
+  for (const KeeperEntry& keeper : fleet_.keepers) {
+    const KeeperObservation* const seen = observation(keeper.name);
+    if (seen == nullptr || !seen->reachable) {
+      const std::string since = seen == nullptr ? "not asked" : "for " + format_age(now_ms - seen->since_ms);
       const std::string last =
-          one == nullptr || one->answered_ms == 0 ? "" : text(one->status, "in_force") + "?";
+          seen == nullptr || seen->answered_ms == 0 ? "" : text_field(seen->status, "in_force") + "?";
       rows.push_back({keeper.name, keeper.zone, "UNREACHABLE", last, since, "", "", "", "", "", "",
-                      one == nullptr ? "" : one->why});
+                      seen == nullptr ? "" : seen->error});
       states["unreachable"] += 1;
       continue;
     }
-    const json& s = one->status;
-    const json* const process = leader(s);
-    const std::string state = state_of(s);
+    const json& status = seen->status;
+    const json* const process = leading_process(status);
+    const std::string state = state_of(status);
     states[state] += 1;
-    std::vector<std::string> row{keeper.name, keeper.zone, state, text(s, "in_force", "-")};
+    std::vector<std::string> row{keeper.name, keeper.zone, state, text_field(status, "in_force", "-")};
     if (process != nullptr) {
       const json recent = process->value("recent", json::object());
-      const double asked = number(recent, "taken");
-      row.push_back(ago(now_ms - static_cast<std::int64_t>(number(*process, "since_ms"))));
-      row.push_back(fixed("%.1f", asked / 10));
-      row.push_back(
-          percent(number(recent, "in_budget"),
-                  number(recent, "answered") + number(recent, "pushed_back") + number(recent, "failed")));
-      row.push_back(fixed("%.1f", number(recent, "p99_us") / 1000));
-      row.push_back(percent(number(recent, "pushed_back"), asked));
-      row.push_back(fixed("%.0f", number(*process, "rss_bytes") / 1e6));
-      taken += asked;
-      good += number(recent, "in_budget");
-      versions[text(*process, "version")] += 1;
+      const double received_recently = number_field(recent, "taken");
+      row.push_back(format_age(now_ms - static_cast<std::int64_t>(number_field(*process, "since_ms"))));
+      row.push_back(fixed("%.1f", received_recently / 10));
+      row.push_back(percent(number_field(recent, "in_budget"), number_field(recent, "answered") +
+                                                                   number_field(recent, "pushed_back") +
+                                                                   number_field(recent, "failed")));
+      row.push_back(fixed("%.1f", number_field(recent, "p99_us") / 1000));
+      row.push_back(percent(number_field(recent, "pushed_back"), received_recently));
+      row.push_back(fixed("%.0f", number_field(*process, "rss_bytes") / 1e6));
+      received += received_recently;
+      good += number_field(recent, "in_budget");
+      versions[text_field(*process, "version")] += 1;
     } else {
       row.insert(row.end(), 6, "");
     }
-    row.push_back(fixed("%.0f", number(s, "ends")));
-    const std::string why = text(s, "why");
-    row.push_back(text(s, "outcome") + (why.empty() ? "" : ": " + why));
+    row.push_back(fixed("%.0f", number_field(status, "ends")));
+    const std::string reason = text_field(status, "why");
+    row.push_back(text_field(status, "outcome") + (reason.empty() ? "" : ": " + reason));
     rows.push_back(std::move(row));
   }
   std::vector<std::size_t> widths(rows[0].size());
@@ -157,31 +157,32 @@
     if (width > 0 && line.size() > width) line.resize(width);
     out.push_back(line);
   }
-  std::string sums = fleet_.name + ": " + std::to_string(fleet_.keepers.size()) + " keepers";
-  for (const auto& [state, count] : states) sums += ", " + std::to_string(count) + " " + state;
-  for (const auto& [version, count] : versions) sums += "; " + version + " runs on " + std::to_string(count);
-  sums += "; " + fixed("%.1f", taken / 10) + " asked a second, " + percent(good, taken) + " good";
-  if (width > 0 && sums.size() > width) sums.resize(width);
-  out.push_back(sums);
+  std::string totals = fleet_.name + ": " + std::to_string(fleet_.keepers.size()) + " keepers";
+  for (const auto& [state, count] : states) totals += ", " + std::to_string(count) + " " + state;
+  for (const auto& [version, count] : versions)
+    totals += "; " + version + " runs on " + std::to_string(count);
+  totals += "; " + fixed("%.1f", received / 10) + " asked a second, " + percent(good, received) + " good";
+  if (width > 0 && totals.size() > width) totals.resize(width);
+  out.push_back(totals);
   return out;
 }
 
-json View::as_json(std::int64_t now_ms) const {
+json FleetView::to_json(std::int64_t now_ms) const {
   nlohmann::json out = {{"fleet", fleet_.name}, {"wall_ms", now_ms}, {"keepers", nlohmann::json::array()}};
-  for (const KeeperAt& keeper : fleet_.keepers) {
+  for (const KeeperEntry& keeper : fleet_.keepers) {
     nlohmann::json one = {{"name", keeper.name},
                           {"zone", keeper.zone},
                           {"groups", keeper.groups},
                           {"control", keeper.control.text()}};
-    const Seen* const s = seen(keeper.name);
-    one["reachable"] = s != nullptr && s->reachable;
-    if (s != nullptr) {
-      one["since_ms"] = s->since_ms;
-      one["answered_ms"] = s->answered_ms;
-      if (!s->reachable) one["why"] = s->why;
-      if (s->status.is_object()) {
-        one["state"] = s->reachable ? state_of(s->status) : "unreachable";
-        one["status"] = s->status;
+    const KeeperObservation* const seen = observation(keeper.name);
+    one["reachable"] = seen != nullptr && seen->reachable;
+    if (seen != nullptr) {
+      one["since_ms"] = seen->since_ms;
+      one["answered_ms"] = seen->answered_ms;
+      if (!seen->reachable) one["why"] = seen->error;
+      if (seen->status.is_object()) {
+        one["state"] = seen->reachable ? state_of(seen->status) : "unreachable";
+        one["status"] = seen->status;
       }
     }
     out["keepers"].push_back(std::move(one));
--- a/src/fleet/view.h
+++ b/src/fleet/view.h
@@ -1,5 +1,5 @@
-// A fleet as it was last seen, and as people read it: who runs what, how it serves, what cannot be reached
-// and since when. Without I/O.
+// The state of a fleet as last observed, as a table or as JSON: which version each keeper runs, how its
+// gatherer performs, and which keepers cannot be reached and since when. Without I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,34 +13,36 @@
 
 namespace marbledyke::fleet {
 
-struct Seen {
+// Times are wall clock milliseconds.
+struct KeeperObservation {
   bool reachable = false;
-  std::int64_t since_ms = 0;     // reachable or not since then, as far as this tool was there to see
+  std::int64_t since_ms = 0;     // since when it is reachable or not, as far as this tool has observed
   std::int64_t answered_ms = 0;  // its last answer; 0: none yet
-  std::string why;               // it is not
-  nlohmann::json status;         // of its last answer
+  std::string error;             // why it is not reachable
+  nlohmann::json status;         // its last answer
 };
 
-class View {
+class FleetView {
  public:
-  explicit View(const Fleet& fleet) : fleet_(fleet) {}
+  // `fleet` has to outlive the view.
+  explicit FleetView(const Fleet& fleet) : fleet_(fleet) {}
 
-  void answered(const std::string& keeper, const nlohmann::json& status, std::int64_t now_ms);
-  void silent(const std::string& keeper, const std::string& why, std::int64_t now_ms);
-  const Seen* seen(const std::string& keeper) const;
+  void on_status(const std::string& keeper, const nlohmann::json& status, std::int64_t now_ms);
+  void on_unreachable(const std::string& keeper, const std::string& error, std::int64_t now_ms);
+  const KeeperObservation* observation(const std::string& keeper) const;
 
-  // One line a keeper, then one of sums; no line wider than `width` (0: as wide as it is).
+  // A heading, one line per keeper and one with totals, cut at `width` characters (0: not cut).
   std::vector<std::string> table(std::int64_t now_ms, std::size_t width = 0) const;
-  nlohmann::json as_json(std::int64_t now_ms) const;
-  // 0: all serve; 1: some do not; 2: some cannot be reached.
-  int verdict() const;
+  nlohmann::json to_json(std::int64_t now_ms) const;
+  // 0: all keepers serve; 1: some do not; 2: some cannot be reached.
+  int exit_status() const;
 
  private:
   const Fleet& fleet_;
-  std::map<std::string, Seen> seen_;
+  std::map<std::string, KeeperObservation> observations_;
 };
 
-// "12 s", "3 min", "5 h", "2 d"
-std::string ago(std::int64_t ms);
+// An age in its largest fitting unit: "12 s", "3 min", "5 h", "2 d".
+std::string format_age(std::int64_t ms);
 
 }  // namespace marbledyke::fleet
