--- a/tests/fleet.sh
+++ b/tests/fleet.sh
@@ -1,13 +1,13 @@
 #!/bin/sh
-# The fleet's tool as a person runs it: faults of a file with their lines, two keepers seen and ordered, one that cannot be
-# reached and since when, and no gatherer left at the end.
+# marbledyke-fleet with real keepers: faults of a fleet file with their line numbers, status and orders of two keepers, a
+# keeper that is killed and shown as unreachable with its age, and no gatherer left running at the end.
 set -eu
 bin=$1
 source=$2
 dir=$(mktemp -d)
 pids=
-trap 'for p in $pids; do kill "$p" 2>/dev/null || true; done; wait; rm -rf "$dir"' EXIT
-own="127.$((100 + $$ % 100)).$((1 + $$ / 100 % 250))"
+trap 'for pid in $pids; do kill "$pid" 2>/dev/null || true; done; wait; rm -rf "$dir"' EXIT
+address_prefix="127.$((100 + $$ % 100)).$((1 + $$ / 100 % 250))"
 echo "-- files"
 "$bin/marbledyke-fleet" check "$source/deploy/fleet-example.xml" | sed 's/.*fleet-example/EXAMPLE/'
 cat > "$dir/bad.xml" <<'XML'
@@ -26,48 +26,48 @@
 mkdir "$dir/v"
 cp "$bin/marbledyke" "$dir/v/"
 for i in 0 1; do
-  sed "s/127.0.0.4:9000/$own.$((10 + i)):9000/" "$source/deploy/example.json" > "$dir/v/config.json"
+  sed "s/127.0.0.4:9000/$address_prefix.$((10 + i)):9000/" "$source/deploy/example.json" > "$dir/v/config.json"
   cp -r "$dir/v" "$dir/v$i"
-  "$bin/marbledyke-keeper" --folder "$dir/k$i" --control "$own.$((20 + i)):7700" --name "m$i" --prove 0.3 2> "$dir/log$i" &
+  "$bin/marbledyke-keeper" --folder "$dir/k$i" --control "$address_prefix.$((20 + i)):7700" --name "m$i" --prove 0.3 2> "$dir/log$i" &
   pids="$pids $!"
 done
 cat > "$dir/fleet.xml" <<XML
 <fleet xmlns="urn:marbledyke:fleet:1" name="two">
   <zone name="a"/>
-  <keeper name="m0" control="$own.20:7700" zone="a"/>
-  <keeper name="m1" control="$own.21:7700" zone="a"/>
+  <keeper name="m0" control="$address_prefix.20:7700" zone="a"/>
+  <keeper name="m1" control="$address_prefix.21:7700" zone="a"/>
 </fleet>
 XML
-f=$dir/fleet.xml
-state() { "$bin/marbledyke-fleet" status "$f" --seen "$dir/seen" | sed -n 's/^\(m[0-9]\) *a *\([A-Za-z]*\) *\([a-z0-9]*\).*/\1 \2 \3/p'; }
+fleet_file=$dir/fleet.xml
+fleet_state() { "$bin/marbledyke-fleet" status "$fleet_file" --seen "$dir/seen" | sed -n 's/^\(m[0-9]\) *a *\([A-Za-z]*\) *\([a-z0-9]*\).*/\1 \2 \3/p'; }
 wait_for() {
   for _ in $(seq 100); do
-    [ "$(state | tr '\n' ' ')" = "$1" ] && break
+    [ "$(fleet_state | tr '\n' ' ')" = "$1" ] && break
     sleep 0.1
   done
-  echo "$(state | tr '\n' ' ')"
+  echo "$(fleet_state | tr '\n' ' ')"
 }
 wait_for "m0 off  m1 off  " > /dev/null
 for i in 0 1; do
-  "$bin/marbledyke-fleet" order "$f" "m$i" take v1 --from "$dir/v$i"
-  for _ in $(seq 50); do "$bin/marbledyke-fleet" status "$f" --json | grep -q '"outcome": "done"' && break; sleep 0.1; done
+  "$bin/marbledyke-fleet" order "$fleet_file" "m$i" take v1 --from "$dir/v$i"
+  for _ in $(seq 50); do "$bin/marbledyke-fleet" status "$fleet_file" --json | grep -q '"outcome": "done"' && break; sleep 0.1; done
   sleep 0.2
-  "$bin/marbledyke-fleet" order "$f" "m$i" use v1
+  "$bin/marbledyke-fleet" order "$fleet_file" "m$i" use v1
 done
 wait_for "m0 serves v1 m1 serves v1 "
-"$bin/marbledyke-fleet" order "$f" m0 use v9 || echo "refused"
-"$bin/marbledyke-fleet" order "$f" m0 stop --epoch 0 --number 1 || echo "refused"
+"$bin/marbledyke-fleet" order "$fleet_file" m0 use v9 || echo "refused"
+"$bin/marbledyke-fleet" order "$fleet_file" m0 stop --epoch 0 --number 1 || echo "refused"
 first=${pids# }
 kill -KILL "${first%% *}"
 wait "${first%% *}" 2>/dev/null || true
 wait_for "m0 UNREACHABLE v1 m1 serves v1 "
-"$bin/marbledyke-fleet" status "$f" --seen "$dir/seen" > /dev/null || echo "exit $?"
+"$bin/marbledyke-fleet" status "$fleet_file" --seen "$dir/seen" > /dev/null || echo "exit $?"
 sleep 2.2
-"$bin/marbledyke-fleet" status "$f" --seen "$dir/seen" | grep -q 'UNREACHABLE .* for [2-9] s' && echo "and for how long"
-"$bin/marbledyke-keeper" --folder "$dir/k0" --control "$own.20:7700" --name m0 --prove 0.3 2>> "$dir/log0" &
+"$bin/marbledyke-fleet" status "$fleet_file" --seen "$dir/seen" | grep -q 'UNREACHABLE .* for [2-9] s' && echo "age is shown"
+"$bin/marbledyke-keeper" --folder "$dir/k0" --control "$address_prefix.20:7700" --name m0 --prove 0.3 2>> "$dir/log0" &
 pids="$pids $!"
 wait_for "m0 serves v1 m1 serves v1 "
-for p in $pids; do kill "$p" 2>/dev/null || true; done
+for pid in $pids; do kill "$pid" 2>/dev/null || true; done
 wait || true
 pids=
-pgrep -f "$dir" > /dev/null && echo "SOMETHING IS LEFT" || echo "nothing is left"
+pgrep -f "$dir" > /dev/null && echo "PROCESSES ARE LEFT" || echo "no process is left"
