--- a/src/fleet/configuration.h
+++ b/src/fleet/configuration.h
@@ -25,7 +25,7 @@
 struct ChangeRequest {
   std::string document, author;
   double share = 1;                   // of the gatherers that the change is meant for
-  std::optional<std::int64_t> after;  // the revision that the change must follow directly
+  std::optional<std::int64_t> after;  // refused if a newer revision than this one is in force
   Duration wait{};                    // how long to wait until it is in force everywhere; zero: not at all
 };
 
@@ -57,10 +57,11 @@
   std::vector<const ControlNodeEntry*> voters_;
   std::optional<distribution::Proposer::Change> change_;
   std::optional<distribution::Proposer> proposer_;
-  std::vector<std::uint64_t>
-      latest_call_;  // number of the latest call to each voter; failures of earlier ones are ignored
+  // Number of the latest call to each voter; failures of earlier calls are ignored.
+  std::vector<std::uint64_t> latest_call_;
   HttpClient client_;
-  bool backing_off_ = false, accept_sent_ = false;  // an accept was sent, so a voter may have accepted
+  bool backing_off_ = false;
+  bool accept_sent_ = false;  // a voter may have accepted the change
   std::string errors_;
 };
 
--- a/src/fleet/http_client.h
+++ b/src/fleet/http_client.h
@@ -18,9 +18,9 @@
 namespace marbledyke::fleet {
 
 struct HttpResponse {
-  int status = 0;  // HTTP status; 0: no response arrived
+  int status = 0;  // HTTP status; 0: no usable response
   nlohmann::json body;
-  std::string error;  // why no response arrived
+  std::string error;  // why there is no usable response; `status` is 0 then
 };
 
 // Destroying the client cancels its calls without calling back.
@@ -48,7 +48,7 @@
     Duration limit;
     Callback on_response;
   };
-  void start_call(QueuedCall what);
+  void start_call(QueuedCall queued);
   void finish_call(std::uint64_t number, HttpResponse response);
 
   net::Loop& loop_;
--- a/src/fleet/rollout.h
+++ b/src/fleet/rollout.h
@@ -41,8 +41,8 @@
   void request_status(const KeeperEntry& keeper);
   void on_status(const KeeperEntry& keeper, const nlohmann::json& status);
   void on_windows(const std::string& keeper, const nlohmann::json& windows);
-  // Creates the controller once every reachable keeper has answered, since its epoch must exceed all of
-  // theirs.
+  // Creates the controller after kDiscoveryTime, when every reachable keeper has answered, since its epoch
+  // must exceed all of theirs.
   void start_when_epochs_known();
   void evaluate();
   void carry_out_actions();
