--- a/tests/rollout_traces.cpp
+++ b/tests/rollout_traces.cpp
@@ -49,60 +49,67 @@
   show("most keepers first, and a short soak", plan, 10, 2);
 }
 
-Side side(std::uint64_t asked, double bad, std::mt19937& random) {
+Side make_side(std::uint64_t received, double failure_rate, std::mt19937& random) {
   Side out;
-  out.received = out.completed = asked;
-  const auto lost =
-      static_cast<std::uint64_t>(std::binomial_distribution<int>(static_cast<int>(asked), bad)(random));
-  out.good = out.answered = asked - lost;
-  out.failed = lost;
+  out.received = out.completed = received;
+  const auto failed = static_cast<std::uint64_t>(
+      std::binomial_distribution<int>(static_cast<int>(received), failure_rate)(random));
+  out.good = out.answered = received - failed;
+  out.failed = failed;
   out.slow = static_cast<std::uint64_t>(
       std::binomial_distribution<int>(static_cast<int>(out.answered), 0.1)(random));
-  out.sends = asked * 4;
+  out.sends = received * 4;
   out.repeated_sends =
       static_cast<std::uint64_t>(std::binomial_distribution<int>(static_cast<int>(out.sends), 0.02)(random));
-  out.cpu_seconds = 5e-5 * static_cast<double>(asked);
+  out.cpu_seconds = 5e-5 * static_cast<double>(received);
   return out;
 }
 
-// A scenario for the judge: `how` sets the number of multigets and the share that fails, by op type and zone,
-// for the old and the new side, before and after the change.
+// A scenario for the judge: `adjust` sets the number of multigets and the share that fails, by op type and
+// zone, for the old and the new side, before and after the change.
 struct Scenario {
   const char* name;
-  std::function<void(const Stratum&, bool is_new, bool after, int block, std::uint64_t& asked, double& bad)>
-      how;
+  std::function<void(const Stratum&, bool is_new, bool after, int block, std::uint64_t& received,
+                     double& failure_rate)>
+      adjust;
 };
 
 void verdicts() {
   const Scenario scenarios[] = {
       {"sound", [](const Stratum&, bool, bool, int, std::uint64_t&, double&) {}},
-      {"2% worse everywhere", [](const Stratum&, bool n, bool after, int, std::uint64_t&,
-                                 double& bad) { bad += n && after ? 0.02 : 0; }},
+      {"2% worse everywhere", [](const Stratum&, bool is_new, bool after, int, std::uint64_t&,
+                                 double& failure_rate) { failure_rate += is_new && after ? 0.02 : 0; }},
       {"8% worse in one op type of one zone",
-       [](const Stratum& s, bool n, bool after, int, std::uint64_t&, double& bad) {
-         bad += n && after && s.op_type == "issue" && s.zone == "a" ? 0.08 : 0;
+       [](const Stratum& s, bool is_new, bool after, int, std::uint64_t&, double& failure_rate) {
+         failure_rate += is_new && after && s.op_type == "issue" && s.zone == "a" ? 0.08 : 0;
        }},
       // Simpson's paradox: the new side receives mostly the op type that fails rarely, so it looks better in
       // sum although it is worse in each op type.
       {"better in sum, worse in each op type",
-       [](const Stratum& s, bool n, bool after, int, std::uint64_t& asked, double& bad) {
-         bad = s.op_type == "issue" ? 0.10 : 0.01;
+       [](const Stratum& s, bool is_new, bool after, int, std::uint64_t& received, double& failure_rate) {
+         failure_rate = s.op_type == "issue" ? 0.10 : 0.01;
          if (!after) return;
-         if (n) asked = s.op_type == "issue" ? asked / 8 : asked * 2;
-         bad += n ? 0.03 : 0;
+         if (is_new) received = s.op_type == "issue" ? received / 8 : received * 2;
+         failure_rate += is_new ? 0.03 : 0;
        }},
       {"sides differ alike before and after",
-       [](const Stratum&, bool n, bool, int, std::uint64_t&, double& bad) { bad += n ? 0.03 : 0; }},
-      {"worse only from the 30th block on", [](const Stratum&, bool n, bool after, int block, std::uint64_t&,
-                                               double& bad) { bad += n && after && block >= 30 ? 0.04 : 0; }},
+       [](const Stratum&, bool is_new, bool, int, std::uint64_t&, double& failure_rate) {
+         failure_rate += is_new ? 0.03 : 0;
+       }},
+      {"worse only from the 30th block on",
+       [](const Stratum&, bool is_new, bool after, int block, std::uint64_t&, double& failure_rate) {
+         failure_rate += is_new && after && block >= 30 ? 0.04 : 0;
+       }},
       {"both degraded, blocks 5 to 20",
-       [](const Stratum&, bool, bool after, int block, std::uint64_t&, double& bad) {
-         bad += after && block >= 5 && block < 20 ? 0.2 : 0;
+       [](const Stratum&, bool, bool after, int block, std::uint64_t&, double& failure_rate) {
+         failure_rate += after && block >= 5 && block < 20 ? 0.2 : 0;
+       }},
+      {"the new version degrades the old",
+       [](const Stratum&, bool is_new, bool after, int, std::uint64_t&, double& failure_rate) {
+         failure_rate += !is_new && after ? 0.10 : 0;
        }},
-      {"the new version degrades the old", [](const Stratum&, bool n, bool after, int, std::uint64_t&,
-                                              double& bad) { bad += !n && after ? 0.10 : 0; }},
       {"hardly any multigets",
-       [](const Stratum&, bool, bool, int, std::uint64_t& asked, double&) { asked = asked / 100; }}};
+       [](const Stratum&, bool, bool, int, std::uint64_t& received, double&) { received = received / 100; }}};
   for (const Scenario& scenario : scenarios) {
     std::mt19937 random(11);
     Judge judge(Limits{}, 150);
@@ -112,10 +119,10 @@
         for (const char* zone : {"a", "b"}) {
           const Stratum stratum{op, zone};
           for (const bool is_new : {false, true}) {
-            std::uint64_t asked = is_new ? 200 : 1600;
-            double bad = 0.01;
-            scenario.how(stratum, is_new, after, number, asked, bad);
-            (is_new ? out[stratum].second : out[stratum].first) = side(asked, bad, random);
+            std::uint64_t received = is_new ? 200 : 1600;
+            double failure_rate = 0.01;
+            scenario.adjust(stratum, is_new, after, number, received, failure_rate);
+            (is_new ? out[stratum].second : out[stratum].first) = make_side(received, failure_rate, random);
           }
         }
       }
