--- a/src/rollout/judge.cpp
+++ b/src/rollout/judge.cpp
@@ -34,29 +34,29 @@
 const char* name_of(Measure measure) { return kMeasureNames[static_cast<std::size_t>(measure)]; }
 const char* name_of(Verdict verdict) { return kVerdictNames[static_cast<std::size_t>(verdict)]; }
 
-void Side::add(const totals::Count& c, Duration slow_from) {
-  received += c.taken;
-  completed += c.ended() - c.left;  // a client that left early is no failure of the gatherer
-  good += c.in_budget;
-  failed += c.failed;
-  pushed_back += c.pushed_back;
-  answered += c.answered;
-  if (slow_from > 0us) slow += c.latency.above(slow_from);
-  sends += c.sends;
-  repeated_sends += c.further;
+void Side::add(const totals::Count& count, Duration slow_from) {
+  received += count.taken;
+  completed += count.ended() - count.left;  // a client that left early is no failure of the gatherer
+  good += count.in_budget;
+  failed += count.failed;
+  pushed_back += count.pushed_back;
+  answered += count.answered;
+  if (slow_from > 0us) slow += count.latency.above(slow_from);
+  sends += count.sends;
+  repeated_sends += count.further;
 }
 
-void Side::merge(const Side& o) {
-  received += o.received;
-  completed += o.completed;
-  good += o.good;
-  failed += o.failed;
-  pushed_back += o.pushed_back;
-  answered += o.answered;
-  slow += o.slow;
-  sends += o.sends;
-  repeated_sends += o.repeated_sends;
-  cpu_seconds += o.cpu_seconds;
+void Side::merge(const Side& other) {
+  received += other.received;
+  completed += other.completed;
+  good += other.good;
+  failed += other.failed;
+  pushed_back += other.pushed_back;
+  answered += other.answered;
+  slow += other.slow;
+  sends += other.sends;
+  repeated_sends += other.repeated_sends;
+  cpu_seconds += other.cpu_seconds;
 }
 
 std::optional<double> Side::ratio(Measure measure, int least) const {
@@ -98,10 +98,10 @@
 
 double SequentialTest::log_likelihood_ratio_at(double blocks) const {
   if (count_ < kMinComparisonBlocks || prior_blocks_ + count_ < kMinTotalBlocks) return 0;
-  const double v = block_variance();
+  const double variance = block_variance();
   const double sum = (sum_ / count_ - allowed_) * blocks;
-  const double prior = kMixtureBlocks * v;
-  const double spread = prior + blocks * v;
+  const double prior = kMixtureBlocks * variance;
+  const double spread = prior + blocks * variance;
   const boost::math::normal standard;
   const double below = boost::math::cdf(standard, std::clamp(sum / std::sqrt(spread), -8.0, 8.0));
   return std::min(std::log(2 * below) + 0.5 * std::log(prior / spread) +
@@ -132,10 +132,10 @@
 Block Judge::with_totals(const Block& block) {
   Block out = block;
   for (const auto& [stratum, sides] : block) {
-    for (const Stratum& of : {Stratum{stratum.op_type, "all"}, Stratum{"all", "all"}}) {
-      auto& [a, b] = out[of];
-      a.merge(sides.first);
-      b.merge(sides.second);
+    for (const Stratum& total : {Stratum{stratum.op_type, "all"}, Stratum{"all", "all"}}) {
+      auto& [old_total, new_total] = out[total];
+      old_total.merge(sides.first);
+      new_total.merge(sides.second);
     }
   }
   return out;
@@ -149,14 +149,14 @@
       Baseline& base = baselines_[{stratum, measure}];
       base.partial_old.merge(sides.first);
       base.partial_new.merge(sides.second);
-      const auto a = base.partial_old.ratio(measure, limits_.min_multigets);
-      const auto b = base.partial_new.ratio(measure, limits_.min_multigets);
-      if (!a || !b) continue;
+      const auto old_share = base.partial_old.ratio(measure, limits_.min_multigets);
+      const auto new_share = base.partial_new.ratio(measure, limits_.min_multigets);
+      if (!old_share || !new_share) continue;
       base.partial_old = base.partial_new = {};
-      const double d = difference(measure, *a, *b);
+      const double delta = difference(measure, *old_share, *new_share);
       base.count += 1;
-      base.sum += d;
-      base.squares += d * d;
+      base.sum += delta;
+      base.squares += delta * delta;
     }
   }
   const auto add_good_share = [&](const Side& side, Baseline& base) {
@@ -192,8 +192,8 @@
   if (good_old || good_new)
     recent_good_shares_.emplace_back(good_old ? *good_old : *good_new, good_new ? *good_new : *good_old);
   if (recent_good_shares_.size() > kRecentBlocks) recent_good_shares_.erase(recent_good_shares_.begin());
-  // Blocks in which old and new are degraded alike are left out: the variance of the differences is another
-  // one than in the baseline, and 2% of sound rollouts were stopped by such blocks.
+  // Blocks in which old and new are degraded alike are left out: the differences vary in another way
+  // than in the baseline, and 2% of sound rollouts were stopped by such blocks.
   if (good_old && good_new && good_before_old_.count >= kMinBaselineBlocks &&
       good_before_new_.count >= kMinBaselineBlocks &&
       good_before_old_.sum / good_before_old_.count - *good_old >= limits_.max_shared_drop / 2 &&
@@ -207,37 +207,38 @@
       if (at == tests_.end()) {
         const double max_degradation = limits_.max_degradation[i];
         Test test;
-        // Two null hypotheses: that the new version is not noticeably worse, and that it is worse by more
-        // than is allowed.
+        // Two null hypotheses: `worse` tests against the new version not being noticeably worse, `sound`
+        // against it being worse by more than is allowed.
         test.worse = SequentialTest(limits_.ignored_fraction * max_degradation);
         test.sound =
             SequentialTest(-max_degradation * (stratum.op_type == "all" ? 1 : limits_.op_type_factor));
         test.offset = max_degradation / 2;  // without a baseline, half of what is allowed
         const auto base = baselines_.find(key);
         if (base != baselines_.end() && base->second.count >= kMinBaselineBlocks) {
-          const Baseline& b0 = base->second;
-          const boost::math::students_t t(b0.count - 1);
-          const double half =
+          const Baseline& baseline = base->second;
+          const boost::math::students_t t(baseline.count - 1);
+          const double half_width =
               boost::math::quantile(boost::math::complement(t, kBaselineErrorProbability / 2)) *
-              std::sqrt(b0.variance() / b0.count);
-          // A difference that existed before the change is not held against it, and its uncertainty only up
-          // to half of what is allowed.
-          test.offset = std::clamp(b0.sum / b0.count, -0.5, 0.5) + std::min(half, max_degradation / 2);
+              std::sqrt(baseline.variance() / baseline.count);
+          // The difference that existed before the change is subtracted, and in favour of the new version its
+          // uncertainty, up to half of what is allowed.
+          test.offset = std::clamp(baseline.sum / baseline.count, -0.5, 0.5) +
+                        std::min(half_width, max_degradation / 2);
           for (SequentialTest* one : {&test.worse, &test.sound})
-            one->add_prior_variance(b0.count, b0.variance() * (b0.count - 1));
+            one->add_prior_variance(baseline.count, baseline.variance() * (baseline.count - 1));
         }
         at = tests_.emplace(key, test).first;
       }
       Test& test = at->second;
       test.partial_old.merge(sides.first);
       test.partial_new.merge(sides.second);
-      const auto a = test.partial_old.ratio(measure, limits_.min_multigets);
-      const auto b = test.partial_new.ratio(measure, limits_.min_multigets);
-      if (!a || !b) continue;
+      const auto old_share = test.partial_old.ratio(measure, limits_.min_multigets);
+      const auto new_share = test.partial_new.ratio(measure, limits_.min_multigets);
+      if (!old_share || !new_share) continue;
       test.partial_old = test.partial_new = {};
-      const double d = difference(measure, *a, *b) - test.offset;
-      test.worse.observe(d);
-      test.sound.observe(-d);
+      const double delta = difference(measure, *old_share, *new_share) - test.offset;
+      test.worse.observe(delta);
+      test.sound.observe(-delta);
     }
   }
 }
@@ -246,14 +247,14 @@
   if (immediate_stop_.empty()) immediate_stop_ = what;
 }
 
-void Judge::on_memory_growth(double bytes_new, double bytes_old, double minutes) {
-  const double beyond = bytes_new - std::max(bytes_old, 0.0);
+void Judge::on_memory_growth(double new_bytes_per_minute, double old_bytes_per_minute, double minutes) {
+  const double excess = new_bytes_per_minute - std::max(old_bytes_per_minute, 0.0);
   // Growth within the first 3 minutes is warm-up, up to a limit.
-  if (minutes < 3 && beyond * minutes < kWarmUpGrowthBytes) return;
-  if (beyond < limits_.max_memory_growth_per_minute) return;
+  if (minutes < 3 && excess * minutes < kWarmUpGrowthBytes) return;
+  if (excess < limits_.max_memory_growth_per_minute) return;
   char out[120];
   std::snprintf(out, sizeof out, "memory grows by %.2f MB a minute, the old version's by %.2f",
-                bytes_new / 1e6, bytes_old / 1e6);
+                new_bytes_per_minute / 1e6, old_bytes_per_minute / 1e6);
   stop_immediately(out);
 }
 
@@ -284,9 +285,9 @@
   if (recent_good_shares_.size() >= kRecentBlocks && good_before_old_.count >= kMinBaselineBlocks &&
       good_before_new_.count >= kMinBaselineBlocks) {
     double now_old = 0, now_new = 0;
-    for (const auto& [a, b] : recent_good_shares_) {
-      now_old += a / static_cast<double>(recent_good_shares_.size());
-      now_new += b / static_cast<double>(recent_good_shares_.size());
+    for (const auto& [old_share, new_share] : recent_good_shares_) {
+      now_old += old_share / static_cast<double>(recent_good_shares_.size());
+      now_new += new_share / static_cast<double>(recent_good_shares_.size());
     }
     const double drop_old = good_before_old_.sum / good_before_old_.count - now_old;
     const double drop_new = good_before_new_.sum / good_before_new_.count - now_new;
@@ -309,8 +310,8 @@
       good_before_new_.count >= kMinBaselineBlocks) {
     // No keeper has the old version any more: the whole fleet is compared with its own baseline.
     double now_new = 0;
-    for (const auto& [a, b] : recent_good_shares_)
-      now_new += b / static_cast<double>(recent_good_shares_.size());
+    for (const auto& [old_share, new_share] : recent_good_shares_)
+      now_new += new_share / static_cast<double>(recent_good_shares_.size());
     const double drop = good_before_new_.sum / good_before_new_.count - now_new;
     if (drop >= limits_.max_shared_drop) {
       out.verdict = Verdict::shared_degradation;
--- a/src/rollout/judge.h
+++ b/src/rollout/judge.h
@@ -136,7 +136,7 @@
   // Reports a fault that needs no statistics, such as a crash.
   void stop_immediately(const std::string& what);
   // Growth of a process's memory on either side, in bytes per minute, over `minutes` since burn-in.
-  void on_memory_growth(double bytes_a_minute_new, double bytes_a_minute_old, double minutes);
+  void on_memory_growth(double new_bytes_per_minute, double old_bytes_per_minute, double minutes);
 
   // The latency from which an answer of an op type counts as slow; none until enough answers were recorded.
   std::optional<Duration> slow_threshold(const std::string& op_type) const;
