--- a/src/fleet/rollout.cpp
+++ b/src/fleet/rollout.cpp
@@ -76,7 +76,7 @@
 
 void RolloutRunner::poll() {
   const std::int64_t now_ms = loop_.clock().wall() / 1ms;
-  for (const KeeperEntry& keeper : fleet_.keepers) request_status(keeper);
+  for (const KeeperEntry& keeper : fleet_.keepers) poll_keeper(keeper);
   start_when_epochs_known();
   if (controller_ != nullptr) {
     read_command();
@@ -88,7 +88,7 @@
   poll_timer_ = loop_.at(loop_.now() + kPollInterval, [this] { poll(); });
 }
 
-void RolloutRunner::request_status(const KeeperEntry& keeper) {
+void RolloutRunner::poll_keeper(const KeeperEntry& keeper) {
   KeeperProgress& progress = progress_[keeper.name];
   if (std::exchange(progress.status_pending, true)) return;
   client_.call(keeper.control, "GET", "/status", "", kCallTimeout,
--- a/src/fleet/rollout.h
+++ b/src/fleet/rollout.h
@@ -38,7 +38,8 @@
     bool status_pending = false;
   };
   void poll();
-  void request_status(const KeeperEntry& keeper);
+  // Requests the status and the newest windows of a keeper, unless its status is still pending.
+  void poll_keeper(const KeeperEntry& keeper);
   void on_status(const KeeperEntry& keeper, const nlohmann::json& status);
   void on_windows(const std::string& keeper, const nlohmann::json& windows);
   // Creates the controller after kDiscoveryTime, when every reachable keeper has answered, since its epoch
