--- a/src/clients/http_front.cpp
+++ b/src/clients/http_front.cpp
@@ -211,7 +211,7 @@
       connection.is_request_pending = true;
       static log::RateLimitedEvent throttled(log::Level::info, "client.unreadable");
       throttled.write({{"status", connection.reader.complaint()}});
-      respond(connection, answer_text(connection.reader.complaint(), "malformed request\n", false), false);
+      respond(connection, answer_text(connection.reader.complaint(), "the request cannot be read\n", false), false);
     } else if (connection.reader.state() == net::HttpReader::State::done) {
       return on_request_complete(connection);  // pipelined data waits until this request is answered
     }
@@ -225,12 +225,12 @@
   connection.keep_alive = message.stays() && has_slot;
   const std::string path = message.second.substr(0, message.second.find('?'));
   if (path == "/healthz") {
-    if (message.first != "GET") return respond_error(connection.number, 405, "method not allowed, use GET\n");
+    if (message.first != "GET") return respond_error(connection.number, 405, "only GET is answered here\n");
     if (is_stopping_) return respond_error(connection.number, 503, "stopping\n");
     return respond(connection, answer_text(200, "serving\n", connection.keep_alive), connection.keep_alive);
   }
-  if (path != "/api") return respond_error(connection.number, 404, "not found\n");
-  if (message.first != "POST") return respond_error(connection.number, 405, "method not allowed, use POST\n");
+  if (path != "/api") return respond_error(connection.number, 404, "there is nothing here\n");
+  if (message.first != "POST") return respond_error(connection.number, 405, "only POST is answered here\n");
   auto parsed = parse_multiget(message, settings_);
   if (const RequestError* error = std::get_if<RequestError>(&parsed)) {
     static log::RateLimitedEvent throttled(log::Level::info, "client.bad_request");
@@ -256,9 +256,9 @@
     case front::Refusal::pushed_back:
       return respond_error(number, 503, "pushed back\n", retry_after);
     case front::Refusal::at_capacity:
-      return respond_error(number, 503, "at capacity\n", retry_after);
+      return respond_error(number, 503, "no room\n", retry_after);
     case front::Refusal::duplicate_id:
-      return respond_error(number, 400, "x-request-id: a request with this id is pending\n");
+      return respond_error(number, 400, "x-request-id: one of that id is in hand\n");
     case front::Refusal::failed:
       return respond_error(number, 504, "failed\n");
   }
@@ -359,7 +359,7 @@
 void HttpFront::time_out_request(Connection& connection) {
   connection.is_request_pending = true;
   tally_.timed_out += 1;
-  respond(connection, answer_text(408, "request not completed in time\n", false), false);
+  respond(connection, answer_text(408, "the request does not end\n", false), false);
 }
 
 void HttpFront::close(Connection& connection) {
@@ -450,7 +450,7 @@
 void HttpFront::refuse_at_capacity(Connection& connection) {
   connection.is_request_pending = true;
   const Duration retry_after = std::min(settings_.max_latency_budget, settings_.max_retry_after);
-  respond(connection, answer_text(503, "at capacity\n", false, retry_after), false);
+  respond(connection, answer_text(503, "no room\n", false, retry_after), false);
 }
 
 void HttpFront::destroy_closed() {
--- a/src/clients/http_front.h
+++ b/src/clients/http_front.h
@@ -56,7 +56,7 @@
     std::uint64_t closed_idle = 0;          // idle ones closed because most slots were in use
     std::uint64_t evicted = 0;              // closed to free a slot or a descriptor
     std::uint64_t closed_silent = 0;        // never sent a byte
-    std::uint64_t timed_out = 0;            // request not completed in time
+    std::uint64_t timed_out = 0;            // the request was not completed in time
     std::uint64_t refused_at_capacity = 0;  // request refused because there was no slot
   };
   const Tally& tally() const { return tally_; }
--- a/src/clients/multiget_request.cpp
+++ b/src/clients/multiget_request.cpp
@@ -46,17 +46,17 @@
 const std::string& required_header(const net::HttpMessage& request, const char* name) {
   const std::string* value = request.header(name);
   if (value == nullptr) reject(std::string(name) + ": missing");
-  if (request.count(name) > 1) reject(std::string(name) + ": given more than once");
+  if (request.count(name) > 1) reject(std::string(name) + ": comes twice");
   return *value;
 }
 
 Part parse_part(const json& item, const config::ServiceSettings& settings) {
   Part out;
   const std::int64_t shard = config::integer(item, "slice");
-  if (shard < 0 || shard >= settings.shards) throw BadInput("slice: no such shard");
+  if (shard < 0 || shard >= settings.shards) throw BadInput("slice: there is no such shard");
   out.shard = static_cast<int>(shard);
   out.weight = config::number(config::required(item, "mass"), "mass");
-  if (out.weight <= 0 || out.weight > 1 + kMassTolerance) throw BadInput("mass: not above 0 and up to 1");
+  if (out.weight <= 0 || out.weight > 1 + kMassTolerance) throw BadInput("mass: not a share");
   const std::int64_t micros = config::integer_or(item, "micros", 0);
   if (micros < 0 || micros > kMaxWorkEstimateUs) throw BadInput("micros: out of range");
   out.work_estimate = Duration(micros);
@@ -72,7 +72,7 @@
   Multiget out;
   out.id = required_header(request, "x-request-id");
   if (!is_valid_id(out.id))
-    reject("x-request-id: empty, longer than 128 bytes, or not of printable ASCII without spaces");
+    reject("x-request-id: empty, too long, or with characters it may not have");
   const std::string& type = required_header(request, "x-class");
   const auto op_type =
       std::find_if(settings.op_types.begin(), settings.op_types.end(),
@@ -87,7 +87,7 @@
   }
   const auto timeout_ms = parse_number<std::int64_t>(required_header(request, "x-deadline-ms"), 10);
   if (!timeout_ms || *timeout_ms <= 0 || *timeout_ms > kMaxTimeoutMs)
-    reject("x-deadline-ms: not a whole number from 1 to 3600000");
+    reject("x-deadline-ms: not whole milliseconds above 0");
   out.client_timeout = std::chrono::milliseconds(*timeout_ms);
   if (const std::string* retry = request.header("x-retry"); retry != nullptr)
     out.is_client_retry = *retry == "1";
@@ -101,9 +101,9 @@
     total_weight += part.weight;
   }
   // With any other sum, an answer would count as complete too early, or never.
-  if (std::abs(total_weight - 1) > kMassTolerance) reject("mass: the parts' masses do not add up to 1");
+  if (std::abs(total_weight - 1) > kMassTolerance) reject("mass: the parts' do not add up to 1");
   std::sort(shards.begin(), shards.end());
-  if (std::adjacent_find(shards.begin(), shards.end()) != shards.end()) reject("slices: duplicate shard");
+  if (std::adjacent_find(shards.begin(), shards.end()) != shards.end()) reject("slices: a shard comes twice");
   out.text = std::make_shared<const std::string>(config::text(body, "filter"));
   return out;
 }
--- a/src/config/fields.cpp
+++ b/src/config/fields.cpp
@@ -11,7 +11,7 @@
 }
 
 const json& required(const json& parent, const char* field) {
-  if (!parent.is_object()) throw BadInput(std::string(field) + ": the enclosing value is not an object");
+  if (!parent.is_object()) throw BadInput(std::string(field) + ": its holder is not an object");
   const auto found = parent.find(field);
   if (found == parent.end() || found->is_null()) throw BadInput(std::string(field) + ": missing");
   return *found;
