--- a/src/config/gatherer_config.h
+++ b/src/config/gatherer_config.h
@@ -15,7 +15,7 @@
 
 namespace marbledyke::config {
 
-// What the I/O code needs to know of an op type. The decision module reads the rest from the terms itself.
+// What the I/O code needs to know of an op type. The decision engine reads the rest from the terms itself.
 struct OpTypeSettings {
   std::string name;
   int second_step_parts = 0;    // number of parts in the step that follows a first answer; 0: a single step
@@ -30,7 +30,7 @@
   std::vector<OpTypeSettings> op_types;
   std::vector<std::string> customers;
   std::vector<std::string> zones;
-  std::vector<std::string> report_fields;  // values of a load report, in the decision module's order
+  std::vector<std::string> report_fields;  // values of a load report, in the decision engine's order
   int shards = 1;
   int cells = 1;
   int max_parts_per_call = 1;
@@ -43,7 +43,7 @@
   Duration idle_timeout{};
   Duration max_retry_after{};     // upper bound of the Retry-After of a refusal; 0: refusals carry none
   Duration list_poll_interval{};  // longest time between two requests for the list
-  bool list_polled = false;  // the decision module requests the list; false: it is watched from the start
+  bool list_polled = false;  // the decision engine requests the list; false: it is watched from the start
 };
 
 struct GathererConfig {
--- a/src/gatherer/gatherer.cpp
+++ b/src/gatherer/gatherer.cpp
@@ -207,7 +207,7 @@
   discovery_ = fresh.discovery;
 }
 
-// Changes the settings between two turns, at the same time for the decision module and for the code that
+// Changes the settings between two turns, at the same time for the decision engine and for the code that
 // executes its decisions. Returns whether zones or cells changed, so that the list must be read again. Events
 // collected before were read under the old settings and are delivered first.
 bool Gatherer::apply_settings(const config::GathererConfig& fresh) {
@@ -268,7 +268,7 @@
   for (const auto& one : carriers_) one->configure(terms.servers);
 }
 
-// ---- events to the decision module ----
+// ---- events to the decision engine ----
 
 void Gatherer::deliver_events() {
   is_wake_due_ = false;
@@ -276,7 +276,7 @@
   for (list::News& news : std::exchange(list_updates_, {})) on_list_update(std::move(news));
   for (const Duration most_backoff : std::exchange(list_refusals_, {})) {
     decision_engine_.on_list_call_refused(most_backoff);
-    // Where the list is pushed, the decision module never requests it, so the connection is reopened here.
+    // Where the list is pushed, the decision engine never requests it, so the connection is reopened here.
     if (!gatherer_config_.settings.list_polled)
       loop_.at(loop_.now() + list::kAgentBackoff, [this] { list_watch_.ask(true); });
   }
@@ -315,7 +315,7 @@
   release_if_finished(mg);
 }
 
-// Multigets accepted before a planned stop may have a later deadline than the forced end: the decision module
+// Multigets accepted before a planned stop may have a later deadline than the forced end: the decision engine
 // was given that one, and a client without an answer would only see a reset. The cost: if the forced end
 // comes later than assumed, some of them could still have been answered.
 void Gatherer::fail_remaining_at_stop() {
@@ -351,7 +351,7 @@
   servers_.listed(news);
   for (const auto& one : carriers_) one->listed(news);
   decision_engine_.on_list_begin(news.whole, false);
-  // A complete list has no information on a server whose entry cannot be parsed, so the decision module is
+  // A complete list has no information on a server whose entry cannot be parsed, so the decision engine is
   // given the server's last known entry again.
   std::size_t kept = 0;
   for (const std::string& name : news.unreadable) {
@@ -377,7 +377,7 @@
         {{"version", news.index}, {"entries", news.entries.size()}, {"whole", news.whole}, {"kept", kept}});
 }
 
-// Ids for the decision module: eight hexadecimal digits of the multiget's number, four zeros, and four digits
+// Ids for the decision engine: eight hexadecimal digits of the multiget's number, four zeros, and four digits
 // of the part's index plus one, which are 0 for the multiget itself.
 RequestId Gatherer::part_id(const RequestId& multiget, std::size_t part_index) const {
   RequestId out = multiget;
--- a/src/gatherer/gatherer.h
+++ b/src/gatherer/gatherer.h
@@ -46,7 +46,7 @@
   // finished.
   void begin_stop();
   // Applies a new configuration: its settings and its discovery address. Other differences are logged, since
-  // they need a restart. Multigets already delivered to the decision module finish under the settings that
+  // they need a restart. Multigets already delivered to the decision engine finish under the settings that
   // they arrived under. Throws, without any change, if the settings are invalid.
   void reload(const config::GathererConfig& fresh);
   // Applies the operator's terms, at the start and after each reload of their file.
@@ -79,7 +79,7 @@
     std::size_t front = 0;
     std::uint64_t caller = 0;   // 0 after its final answer or the disconnect of its client
     std::string request_id;     // as stated by the client
-    Duration deadline{};        // for the final answer, as given to the decision module
+    Duration deadline{};        // for the final answer, as given to the decision engine
     int second_step_parts = 0;  // as in the settings it arrived under, like the next
     bool non_retriable = false;
     int step = 1;
--- a/tests/crossing_traces.cpp
+++ b/tests/crossing_traces.cpp
@@ -529,7 +529,7 @@
 }
 
 // A multiget that no server answers gets its final answer well before the forced end, 3.7 s after the signal:
-// the decision module's deadline, the wait for sends under way and the write all come before it. A client
+// the decision engine's deadline, the wait for sends under way and the write all come before it. A client
 // that does not close afterwards is not waited for.
 void stop_in_time() {
   FakeShardServer server(11);
