--- a/src/carrier/carrier.h
+++ b/src/carrier/carrier.h
@@ -11,7 +11,7 @@
 
 #include "carrier/fates.h"
 #include "carrier/talk.h"
-#include "config/commission.h"
+#include "config/gatherer_config.h"
 #include "list/news.h"
 #include "net/loop.h"
 #include "net/socket.h"
@@ -26,7 +26,7 @@
 
 class Carrier {
  public:
-  Carrier(net::Loop& loop, const config::Carriage& carriage, MakeTalk make_talk,
+  Carrier(net::Loop& loop, const config::ServiceSettings& settings, MakeTalk make_talk,
           std::function<bool()> make_room);
   ~Carrier();
 
@@ -39,7 +39,7 @@
 
   void listed(const list::News& news);
   void call(const std::string& server, std::vector<servers::Errand> errands);
-  bool withdraw(const Rid& part, int send);  // false: it is not here
+  bool withdraw(const RequestId& part, int send);  // false: it is not here
   void probe(const std::string& server);
   void bury();
 
@@ -57,7 +57,7 @@
     std::uint64_t link = 0;
     std::optional<net::Loop::Timer> expiry;
   };
-  using Key = std::pair<Rid, int>;
+  using Key = std::pair<RequestId, int>;
   struct Known {
     bool up = false;
     std::vector<net::Address> listed, addresses;  // as the list has them; as they are dialled
@@ -77,11 +77,11 @@
   void close(Link& link);
   void free(Link& link);
   void next(const std::string& server);
-  void end(const Key& key, Fate fate, std::string value = {});
-  void give_up(const Key& key, Fate fate);
+  void end(const Key& key, SendOutcome fate, std::string value = {});
+  void give_up(const Key& key, SendOutcome fate);
 
   net::Loop& loop_;
-  const config::Carriage& carriage_;
+  const config::ServiceSettings& settings_;
   MakeTalk make_talk_;
   std::function<bool()> make_room_;
   std::map<std::string, std::string, std::less<>> databases_;
--- a/src/fleet/configuration.cpp
+++ b/src/fleet/configuration.cpp
@@ -85,7 +85,7 @@
   change.author = author_or_user(request.author);
   change.share = request.share;
   change.after = request.after;
-  change.made_ms = machine_clock().wall() / 1ms;
+  change.made_ms = system_time_source().wall() / 1ms;
   net::Loop loop;
   Agreement agreement(loop, fleet, change);
   const Outcome outcome = agreement.run();
--- a/src/fleet/fleet_file.h
+++ b/src/fleet/fleet_file.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "config/fault.h"
+#include "config/file_error.h"
 #include "net/address.h"
 
 namespace marbledyke::fleet {
@@ -36,7 +36,7 @@
 // Either a fleet, or all faults of the document with their lines.
 struct FleetResult {
   std::optional<Fleet> fleet;
-  std::vector<config::Fault> faults;
+  std::vector<config::FileError> faults;
 };
 FleetResult read_fleet(const std::string& text);
 FleetResult read_fleet_file(const std::string& path);
--- a/src/fleet/rollout.cpp
+++ b/src/fleet/rollout.cpp
@@ -164,7 +164,7 @@
   KeeperProgress& progress = progress_[keeper];
   const std::int64_t ahead = windows.value("wall_ms", std::int64_t{0}) - loop_.clock().wall() / 1ms;
   for (const json& one : config::array(windows, "windows")) {
-    const totals::Window window = totals::read_window(one);
+    const totals::Window window = totals::parse_window(one);
     aggregator_.on_window(keeper, one.value("version", ""), one.value("since_ms", std::int64_t{0}), ahead,
                           window);
     // Recent seconds are asked for again, since the process may still add late totals to them.
@@ -389,7 +389,7 @@
       return 0;
     }
     const rollout::SavedState saved = rollout::read_saved_state(config::object(state, "kept"));
-    const std::int64_t now = machine_clock().wall() / 1ms;
+    const std::int64_t now = system_time_source().wall() / 1ms;
     std::cout << state.value("plan", "") << ": " << rollout::name_of(saved.state) << ", stage "
               << saved.stage + 1 << ", for " << (now - saved.since_ms) / 1000 << " s"
               << (saved.reason.empty() ? "" : "; " + saved.reason) << '\n'
--- a/src/model/clock.h
+++ b/src/model/clock.h
@@ -1,23 +1,25 @@
-// The one interface that time is read through, so that a test or the lab can give one process a clock that
-// steps or runs at another rate. Source of the real one: std::chrono's steady and system clocks.
+// The interface through which all code reads the time, so that a test or the lab can give one process a clock
+// that steps or runs at another rate.
 #pragma once
 
 #include <chrono>
 
-#include "model/plain.h"
+#include "model/types.h"
 
 namespace marbledyke {
 
+// Source of the monotonic time and of the wall-clock time.
 class TimeSource {
  public:
   virtual ~TimeSource() = default;
-  virtual Duration steady() const = 0;  // since some fixed moment; never goes back
+  virtual Duration steady() const = 0;  // since an arbitrary fixed point; never decreases
   virtual Duration wall() const = 0;    // since 1970, UTC; may step
-  // How long to wait by the machine's clock for that much to pass by this one.
-  virtual Duration machine_time(Duration own) const = 0;
+  // Returns how long the machine's clock runs while `own` passes on this one.
+  virtual Duration machine_duration(Duration own) const = 0;
 };
 
-class MachineTime final : public TimeSource {
+// The clocks of the machine: std::chrono's steady and system clocks.
+class SystemTimeSource final : public TimeSource {
  public:
   Duration steady() const override {
     return std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch());
@@ -25,12 +27,13 @@
   Duration wall() const override {
     return std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
   }
-  Duration machine_time(Duration own) const override { return own; }
+  Duration machine_duration(Duration own) const override { return own; }
 };
 
-inline const TimeSource& machine_clock() {
-  static const MachineTime one;
-  return one;
+// The time source for processes that are not under test.
+inline const TimeSource& system_time_source() {
+  static const SystemTimeSource system_time_source;
+  return system_time_source;
 }
 
 }  // namespace marbledyke
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "model/clock.h"
-#include "model/plain.h"
+#include "model/types.h"
 #include "net/descriptor.h"
 
 namespace marbledyke::net {
@@ -30,7 +30,7 @@
  public:
   using Timer = std::pair<Duration, std::uint64_t>;
 
-  explicit Loop(const TimeSource& clock = machine_clock());
+  explicit Loop(const TimeSource& clock = system_time_source());
 
   const TimeSource& clock() const { return clock_; }
 
--- a/src/rollout/judge.cpp
+++ b/src/rollout/judge.cpp
@@ -34,14 +34,14 @@
 const char* name_of(Measure measure) { return kMeasureNames[static_cast<std::size_t>(measure)]; }
 const char* name_of(Verdict verdict) { return kVerdictNames[static_cast<std::size_t>(verdict)]; }
 
-void Side::add(const totals::Count& count, Duration slow_from) {
+void Side::add(const totals::OpTypeCounts& count, Duration slow_from) {
   received += count.taken;
   completed += count.ended() - count.left;  // a client that left early is no failure of the gatherer
   good += count.in_budget;
   failed += count.failed;
   pushed_back += count.pushed_back;
   answered += count.answered;
-  if (slow_from > 0us) slow += count.latency.above(slow_from);
+  if (slow_from > 0us) slow += count.latency.count_above(slow_from);
   sends += count.sends;
   repeated_sends += count.further;
 }
@@ -172,14 +172,14 @@
   add_good_share(all->second.second, good_before_new_);
 }
 
-void Judge::add_baseline_latencies(const std::string& op_type, const totals::Latencies& latencies) {
+void Judge::add_baseline_latencies(const std::string& op_type, const totals::LatencyHistogram& latencies) {
   if (!comparing_) latencies_[op_type].merge(latencies);
 }
 
 std::optional<Duration> Judge::slow_threshold(const std::string& op_type) const {
   const auto at = latencies_.find(op_type);
   if (at == latencies_.end() || at->second.count() < kMinLatencySamples) return std::nullopt;
-  return at->second.at(0.9);
+  return at->second.quantile(0.9);
 }
 
 void Judge::add_comparison_block(const Block& strata) {
--- a/src/rollout/judge.h
+++ b/src/rollout/judge.h
@@ -66,7 +66,7 @@
   // Apportioned to op types by their share of the multigets, so that it is the same per multiget in each.
   double cpu_seconds = 0;
   // `slow_from`: the latency from which an answer counts as slow; zero: none does.
-  void add(const totals::Count& count, Duration slow_from);
+  void add(const totals::OpTypeCounts& count, Duration slow_from);
   void merge(const Side& other);
   // The value of a measure; none where fewer than `least` multigets (or sends) were counted.
   std::optional<double> ratio(Measure measure, int least) const;
@@ -140,7 +140,7 @@
 
   // The latency from which an answer of an op type counts as slow; none until enough answers were recorded.
   std::optional<Duration> slow_threshold(const std::string& op_type) const;
-  void add_baseline_latencies(const std::string& op_type, const totals::Latencies& latencies);
+  void add_baseline_latencies(const std::string& op_type, const totals::LatencyHistogram& latencies);
 
   // `soak_over`: whether the soak time has passed, so that a decision is due.
   Finding evaluate(bool soak_over) const;
@@ -182,7 +182,7 @@
   bool comparing_ = false, old_side_seen_ = false;
   std::map<Key, Baseline> baselines_;
   std::map<Key, Test> tests_;
-  std::map<std::string, totals::Latencies> latencies_;
+  std::map<std::string, totals::LatencyHistogram> latencies_;
   std::string immediate_stop_;
   // Good share of the whole fleet by side: before the change, and in the newest blocks (old, new).
   Baseline good_before_old_, good_before_new_;
--- a/src/rollout/plan_file.h
+++ b/src/rollout/plan_file.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "config/fault.h"
+#include "config/file_error.h"
 #include "rollout/plan.h"
 
 namespace marbledyke::rollout {
@@ -13,7 +13,7 @@
 // Either a plan, or all faults of the document with their lines.
 struct PlanResult {
   std::optional<Plan> plan;
-  std::vector<config::Fault> faults;
+  std::vector<config::FileError> faults;
 };
 PlanResult read_plan(const std::string& text);
 PlanResult read_plan_file(const std::string& path);
