--- a/src/clients/http_front.cpp
+++ b/src/clients/http_front.cpp
@@ -132,8 +132,8 @@
   connection->stream = std::make_unique<net::Stream>(
       loop_, std::move(fd), true, kMaxRequestBodyBytes, kMaxResponseBytes,
       net::Stream::Callbacks{nullptr, [this, connection] { on_data_received(*connection); },
-                        [this, connection] { on_response_written(*connection); },
-                        [this, connection](bool) { close(*connection); }});
+                             [this, connection] { on_response_written(*connection); },
+                             [this, connection](bool) { close(*connection); }});
   // A request that is already there is refused in this turn, so that the descriptor is free for the next
   // connection.
   if (over_capacity) connection->stream->read_available();
@@ -211,7 +211,8 @@
       connection.is_request_pending = true;
       static log::RateLimitedEvent throttled(log::Level::info, "client.unreadable");
       throttled.write({{"status", connection.reader.error_status()}});
-      respond(connection, answer_text(connection.reader.error_status(), "malformed request\n", false), false);
+      respond(connection,
+              answer_text(connection.reader.error_status(), "the request cannot be read\n", false), false);
     } else if (connection.reader.state() == net::HttpParser::State::complete) {
       return on_request_complete(connection);  // pipelined data waits until this request is answered
     }
@@ -225,12 +226,14 @@
   connection.keep_alive = message.keeps_alive() && has_slot;
   const std::string path = message.target_or_status.substr(0, message.target_or_status.find('?'));
   if (path == "/healthz") {
-    if (message.method_or_version != "GET") return respond_error(connection.number, 405, "method not allowed, use GET\n");
+    if (message.method_or_version != "GET")
+      return respond_error(connection.number, 405, "only GET is answered here\n");
     if (is_stopping_) return respond_error(connection.number, 503, "stopping\n");
     return respond(connection, answer_text(200, "serving\n", connection.keep_alive), connection.keep_alive);
   }
-  if (path != "/api") return respond_error(connection.number, 404, "not found\n");
-  if (message.method_or_version != "POST") return respond_error(connection.number, 405, "method not allowed, use POST\n");
+  if (path != "/api") return respond_error(connection.number, 404, "there is nothing here\n");
+  if (message.method_or_version != "POST")
+    return respond_error(connection.number, 405, "only POST is answered here\n");
   auto parsed = parse_multiget(message, settings_);
   if (const RequestError* error = std::get_if<RequestError>(&parsed)) {
     static log::RateLimitedEvent throttled(log::Level::info, "client.bad_request");
@@ -256,9 +259,9 @@
     case front::Refusal::pushed_back:
       return respond_error(number, 503, "pushed back\n", retry_after);
     case front::Refusal::at_capacity:
-      return respond_error(number, 503, "at capacity\n", retry_after);
+      return respond_error(number, 503, "no room\n", retry_after);
     case front::Refusal::duplicate_id:
-      return respond_error(number, 400, "x-request-id: a request with this id is pending\n");
+      return respond_error(number, 400, "x-request-id: one of that id is in hand\n");
     case front::Refusal::failed:
       return respond_error(number, 504, "failed\n");
   }
@@ -359,7 +362,7 @@
 void HttpFront::time_out_request(Connection& connection) {
   connection.is_request_pending = true;
   tally_.timed_out += 1;
-  respond(connection, answer_text(408, "request not completed in time\n", false), false);
+  respond(connection, answer_text(408, "the request does not end\n", false), false);
 }
 
 void HttpFront::close(Connection& connection) {
@@ -450,7 +453,7 @@
 void HttpFront::refuse_at_capacity(Connection& connection) {
   connection.is_request_pending = true;
   const Duration retry_after = std::min(settings_.max_latency_budget, settings_.max_retry_after);
-  respond(connection, answer_text(503, "at capacity\n", false, retry_after), false);
+  respond(connection, answer_text(503, "no room\n", false, retry_after), false);
 }
 
 void HttpFront::destroy_closed() {
--- a/src/keeper/keeper.cpp
+++ b/src/keeper/keeper.cpp
@@ -42,19 +42,19 @@
 // in step.
 double jitter_of(const std::string& name) { return static_cast<double>(hash_string(name) % 1000) / 2000.0; }
 
-json counts_json(const totals::Count& count) {
-  json out = totals::put(count);
+json counts_json(const totals::OpTypeCounts& count) {
+  json out = totals::to_json(count);
   out.erase("latency");
   out.erase("importance");
-  out["median_us"] = count.latency.at(0.5).count();
-  out["p99_us"] = count.latency.at(0.99).count();
+  out["median_us"] = count.latency.quantile(0.5).count();
+  out["p99_us"] = count.latency.quantile(0.99).count();
   return out;
 }
 
 json counts_json(const totals::Window& window) {
   json ops = json::object();
   for (const auto& [name, one] : window.by_op_type) ops[name] = counts_json(one);
-  json out = counts_json(window.all());
+  json out = counts_json(window.total());
   out["op_types"] = std::move(ops);
   return out;
 }
@@ -287,13 +287,13 @@
     // The line may be read after a long pause of the keeper.
     supervisor_->tick(loop_.now(), loop_.clock().wall());
     if (name == "window") {
-      totals::Window window = totals::read_window(config::object(event, "window"));
+      totals::Window window = totals::parse_window(config::object(event, "window"));
       const auto count = static_cast<std::uint64_t>(config::integer(event, "number"));
       if (slot.last_window_number != 0 && count > slot.last_window_number + 1)
         slot.missed_windows += count - slot.last_window_number - 1;
       slot.last_window_number = count;
       slot.windows += 1;
-      const totals::Count all = window.all();
+      const totals::OpTypeCounts all = window.total();
       if (settings_ && number == supervisor_->primary_slot())
         settings_->on_running_revision(settings_index_of(event));
       supervisor_->on_window_report(
@@ -535,7 +535,7 @@
          {"windows", slot.windows},
          {"windows_missed", slot.missed_windows},
          {"lines_unreadable", slot.unreadable_lines},
-         {"broken_invariants", slot.series.since_start().invariant_violations},
+         {"broken_invariants", slot.series.since_start().broken_invariants},
          {"totals", counts_json(slot.series.since_start())},
          {"recent", counts_json(slot.series.merged(recent, recent + 2 * kRecentWindowMs))}});
   }
@@ -548,7 +548,7 @@
   for (int i = 0; i < kSlots; ++i) {
     const Slot& slot = slots_[i];
     for (auto at = slot.series.windows().lower_bound(from_ms); at != slot.series.windows().end(); ++at) {
-      json one = totals::put(at->second);
+      json one = totals::to_json(at->second);
       one["slot"] = i;
       one["version"] = supervisor_->process_version(i);
       one["since_ms"] = slot.started_ms;
--- a/src/keeper/keeper.h
+++ b/src/keeper/keeper.h
@@ -46,7 +46,7 @@
  private:
   struct Slot {
     std::unique_ptr<GathererProcess> process;
-    totals::Series series;
+    totals::WindowHistory series;
     std::int64_t started_ms = 0;  // wall clock
     bool stop_ordered = false;
     bool killed_by_keeper = false;  // it hung, or did not start or stop in time
