--- a/src/carrier/carrier.h
+++ b/src/carrier/carrier.h
@@ -1,6 +1,6 @@
-// Connections to shard servers that speak another protocol than frames: a pool of them a server, one part at
-// a time on each. Every part comes back with exactly one fate, as from servers::Servers, and under the same
-// rules; the protocol itself is a Talk's.
+// The connections to shard servers that speak another protocol than the shard protocol's frames: a pool for
+// each server, with one part at a time on each connection. Every send ends with exactly one fate, under the
+// same rules as in servers::ShardServerPool. The protocol itself is a ProtocolSession's.
 #pragma once
 
 #include <deque>
@@ -10,90 +10,94 @@
 #include <vector>
 
 #include "carrier/fates.h"
-#include "carrier/talk.h"
+#include "carrier/protocol_session.h"
 #include "config/gatherer_config.h"
-#include "list/news.h"
+#include "list/list_update.h"
 #include "net/loop.h"
 #include "net/socket.h"
-#include "servers/servers.h"
+#include "servers/shard_server_pool.h"
 
 namespace marbledyke::carrier {
 
-struct Tally {
+struct Counters {
   std::uint64_t opened = 0, parts = 0, answered = 0, refused = 0, failed = 0, dropped = 0, not_connected = 0,
                 expired = 0, revoked = 0, unused = 0, cancelled = 0, closed_by_server = 0, out_of_step = 0;
 };
 
 class Carrier {
  public:
-  Carrier(net::Loop& loop, const config::ServiceSettings& settings, MakeTalk make_talk,
+  Carrier(net::Loop& loop, const config::ServiceSettings& settings, SessionFactory make_session,
           std::function<bool()> make_room);
   ~Carrier();
 
-  // The servers that this carrier is for, with the databases' names there.
-  void serve(std::map<std::string, std::string, std::less<>> databases);
+  // Sets the servers that this carrier is for, each with the name of its database.
+  void set_databases(std::map<std::string, std::string, std::less<>> databases);
   bool serves(std::string_view server) const { return databases_.contains(server); }
 
-  // The operator's own addresses of servers: beside those of the list, or in their place.
-  void configure(std::map<std::string, addresses::Book::Configured, std::less<>> configured);
+  // Replaces the operator's own addresses of servers, which come beside those of the list or instead of them.
+  void configure(std::map<std::string, addresses::AddressBook::ServerOverride, std::less<>> overrides);
 
-  void listed(const list::News& news);
-  void call(const std::string& server, std::vector<servers::Errand> errands);
-  bool withdraw(const RequestId& part, int send);  // false: it is not here
+  void apply_list_update(const list::ListUpdate& update);
+  void call(const std::string& server, std::vector<servers::SendRequest> requests);
+  // Returns false where the send is not pending here.
+  bool cancel_send(const RequestId& part, int send);
+  // These protocols have no load report: the result only tells whether the server accepts sends.
   void probe(const std::string& server);
-  void bury();
+  // Destroys closed connections. Not to be called within a callback of one.
+  void destroy_closed();
 
-  std::vector<servers::Ended> ended;
-  std::vector<servers::Probed> probed;
+  // Results since the owner last emptied these.
+  std::vector<servers::SendResult> finished_sends;
+  std::vector<servers::ProbeResult> finished_probes;
 
-  const Tally& tally() const { return tally_; }
-  std::size_t connections() const { return links_.size(); }
+  const Counters& counters() const { return counters_; }
+  std::size_t connection_count() const { return connections_.size(); }
 
  private:
-  struct Link;
-  struct Job {
-    servers::Errand errand;
-    Stage stage = Stage::waiting;
-    std::uint64_t link = 0;
+  struct Connection;
+  struct PendingSend {
+    servers::SendRequest request;
+    SendStage stage = SendStage::waiting;
+    std::uint64_t connection = 0;
     std::optional<net::Loop::Timer> expiry;
   };
-  using Key = std::pair<RequestId, int>;
-  struct Known {
+  using SendKey = std::pair<RequestId, int>;
+  struct Server {
     bool up = false;
-    std::vector<net::Address> listed, addresses;  // as the list has them; as they are dialled
-    std::size_t first = 0;                        // the address that is dialled first: the last that came up
-    std::deque<Key> waiting;
+    std::vector<net::Address> listed, addresses;  // of the list; in the order of dialling
+    std::size_t first = 0;  // the index of the address to dial first: the last that connected
+    std::deque<SendKey> waiting;
   };
 
-  void merge(const std::string& name, Known& known);
-  void relist();
-  bool dial(const std::string& server);
-  void came_up(Link& link);
-  void begin(Link& link, const Key& key);
-  void arrived(Link& link);
-  void drained(Link& link);
-  bool next_address(Link& link);
-  void broke(Link& link);
-  void close(Link& link);
-  void free(Link& link);
-  void next(const std::string& server);
-  void end(const Key& key, SendOutcome fate, std::string value = {});
-  void give_up(const Key& key, SendOutcome fate);
+  void merge_addresses(const std::string& name, Server& server_state);
+  void reconsider_connections();
+  bool open_connection(const std::string& server);
+  void on_connected(Connection& connection);
+  void start_send(Connection& connection, const SendKey& key);
+  void on_data(Connection& connection);
+  void on_drained(Connection& connection);
+  bool connect_next_address(Connection& connection);
+  void on_closed(Connection& connection);
+  void close(Connection& connection);
+  void on_idle(Connection& connection);
+  void assign_waiting(const std::string& server);
+  void finish_send(const SendKey& key, SendOutcome fate, std::string value = {});
+  void abandon_send(const SendKey& key, SendOutcome fate);
 
   net::Loop& loop_;
   const config::ServiceSettings& settings_;
-  MakeTalk make_talk_;
+  SessionFactory make_session_;
   std::function<bool()> make_room_;
   std::map<std::string, std::string, std::less<>> databases_;
-  std::map<std::string, addresses::Book::Configured, std::less<>> configured_;
-  std::map<std::string, Known, std::less<>> servers_;
-  std::map<Key, Job> jobs_;
-  std::map<std::uint64_t, std::unique_ptr<Link>> links_;
-  std::vector<std::unique_ptr<Link>> graves_;
-  std::vector<std::unique_ptr<net::Stream>> stream_graves_;
-  std::uint64_t next_link_ = 1;
-  Leaving leaving_;
-  Tally tally_;
+  std::map<std::string, addresses::AddressBook::ServerOverride, std::less<>> overrides_;
+  std::map<std::string, Server, std::less<>> servers_;
+  std::map<SendKey, PendingSend> sends_;
+  std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;
+  std::vector<std::unique_ptr<Connection>> closed_connections_;
+  std::vector<std::unique_ptr<net::Stream>> closed_streams_;
+  std::uint64_t next_connection_ = 1;
+  ClosingServers closing_servers_;
+  Counters counters_;
 };
 
 }  // namespace marbledyke::carrier
--- a/src/carrier/fates.h
+++ b/src/carrier/fates.h
@@ -1,5 +1,5 @@
-// What has become of a part whose connection ended, and what a server that leaves may still be given: the
-// rules of the shard protocol's page, for protocols that carry one part at a time. No I/O.
+// The shard protocol's rules for protocols that carry one part at a time: which fate a send has when its
+// connection ends, and what a server that is closing may still be sent. No I/O.
 #pragma once
 
 #include <algorithm>
@@ -12,40 +12,42 @@
 
 namespace marbledyke::carrier {
 
-inline constexpr std::size_t kMostLinks = 16;       // to one server
-inline constexpr std::size_t kMostWaiting = 256;    // parts at one server
-inline constexpr Duration kLeavingHold{5'000'000};  // a server that leaves is left alone for so long
+using namespace std::chrono_literals;
 
-enum class Stage {
-  waiting,   // for a connection
-  dialling,  // one is being opened for it
-  writing,   // some of its bytes may be gone
-  written    // all of them are
+inline constexpr std::size_t kMaxConnectionsPerServer = 16;
+inline constexpr std::size_t kMaxQueuedParts = 256;  // waiting for connections to one server
+inline constexpr Duration kClosingServerHold = 5s;   // without new sends to a server that is closing
+
+enum class SendStage {
+  waiting,     // for a connection
+  connecting,  // a connection is being opened for it
+  writing,     // some bytes of the request may be written
+  written      // all of them are written
 };
 
-// A connection that never came up, or broke before the last byte was written, brought nothing whole: it has
-// not run. After that it may have.
-constexpr SendOutcome when_broken(Stage stage) {
-  return stage == Stage::written ? SendOutcome::dropped : SendOutcome::dial_failed;
+// A part whose connection never opened, or ended before the request's last byte was written, has not run.
+// Once all of the request is written the part may have run.
+constexpr SendOutcome fate_on_disconnect(SendStage stage) {
+  return stage == SendStage::written ? SendOutcome::dropped : SendOutcome::dial_failed;
 }
 
-// Its time is up. What was never written has cost nobody anything.
-constexpr SendOutcome when_late(Stage stage) {
-  return stage == Stage::written ? SendOutcome::expired : SendOutcome::unused;
+// A send that was never written has cost the server nothing, so it counts as unused.
+constexpr SendOutcome fate_on_deadline(SendStage stage) {
+  return stage == SendStage::written ? SendOutcome::expired : SendOutcome::unused;
 }
-constexpr SendOutcome when_withdrawn(Stage stage) {
-  return stage == Stage::written ? SendOutcome::revoked : SendOutcome::unused;
+constexpr SendOutcome fate_on_cancel(SendStage stage) {
+  return stage == SendStage::written ? SendOutcome::revoked : SendOutcome::unused;
 }
 
-// A server of which an association was closed in order, because it stops, takes nothing new until this is
-// over, or the list says anew that it is up: the protocol's own way to tell of a drain.
-class Leaving {
+// The servers that have closed a connection in order because they stop, which is how these protocols announce
+// a drain. They get no new sends until the hold is over or the list reports them as up again.
+class ClosingServers {
  public:
-  explicit Leaving(Duration hold) : hold_(hold) {}
-  void said(const std::string& server, Duration now) { until_[server] = now + hold_; }
-  void listed_up(const std::string& server) { until_.erase(server); }
-  void gone(const std::string& server) { until_.erase(server); }
-  bool takes(const std::string& server, Duration now) {
+  explicit ClosingServers(Duration hold) : hold_(hold) {}
+  void on_server_closing(const std::string& server, Duration now) { until_[server] = now + hold_; }
+  void on_listed_up(const std::string& server) { until_.erase(server); }
+  void remove(const std::string& server) { until_.erase(server); }
+  bool accepts_sends(const std::string& server, Duration now) {
     const auto at = until_.find(server);
     if (at == until_.end()) return true;
     if (now < at->second) return false;
@@ -56,14 +58,15 @@
 
  private:
   Duration hold_;
-  std::map<std::string, Duration> until_;  // no more than servers are listed
+  std::map<std::string, Duration> until_;  // by server; no more than are listed
 };
 
-// Whether a part may go out on a connection that has been used before. Such a one may be closed by its server
-// at the very moment; what may not run twice gets one that is fresh, where closing can only be told apart.
-constexpr bool may_share(bool once, bool used) { return !(once && used); }
+// Whether a part may be sent on a connection that has been used before. The server may close such a
+// connection at that very moment, and then it is unknown whether the part ran. A non-retriable part therefore
+// gets a new connection.
+constexpr bool can_reuse_connection(bool non_retriable, bool used) { return !(non_retriable && used); }
 
-// How many connections a server is given: one for each part under way, up to a bound.
-constexpr bool may_open(std::size_t open, std::size_t most) { return open < most; }
+// Whether another connection to a server may be opened: one for each pending part, up to a bound.
+constexpr bool can_open_connection(std::size_t open, std::size_t most) { return open < most; }
 
 }  // namespace marbledyke::carrier
--- a/src/clients/http_front.cpp
+++ b/src/clients/http_front.cpp
@@ -31,7 +31,7 @@
 struct HttpFront::Connection {
   std::uint64_t number = 0;
   std::unique_ptr<net::Stream> stream;
-  net::HttpReader reader{net::HttpReader::Kind::request, kMaxRequestBodyBytes};
+  net::HttpParser reader{net::HttpParser::Kind::request, kMaxRequestBodyBytes};
   Duration first_byte_at{};
   Duration idle_since{};  // start or end of writing the last response; the accept before the first
   bool has_sent_data = false;
@@ -60,14 +60,14 @@
 
 HttpFront::~HttpFront() { close_listener(); }
 
-void HttpFront::ready(bool, bool) { accept(); }
+void HttpFront::on_ready(bool, bool) { accept(); }
 
 bool HttpFront::accept() {
   may_accept_more_ = false;
   // Limited per turn, so that a flood of connections does not delay other events.
   for (int count = 0; listener_; ++count) {
     if (count == kMaxAcceptsPerTurn) {
-      loop_.at(loop_.now(), [this] { accept(); });
+      loop_.call_at(loop_.now(), [this] { accept(); });
       return true;
     }
     switch (accept_one()) {
@@ -86,13 +86,13 @@
 // Closes a connection or takes a descriptor from the reserve only if a client is waiting for it.
 HttpFront::AcceptResult HttpFront::accept_one() {
   const bool no_slot = slots_used() >= slots();
-  if ((no_slot || is_at_descriptor_limit()) && !net::anybody_waits(listener_.get()))
+  if ((no_slot || is_at_descriptor_limit()) && !net::has_pending_connection(listener_.get()))
     return AcceptResult::none_waiting;
   bool over_capacity = no_slot && !free_slot();
-  if (is_at_descriptor_limit() && !spare_.lend() &&
+  if (is_at_descriptor_limit() && !spare_.release_one() &&
       !free_descriptor([](const Connection& one) { return one.is_slotless; }))
     return AcceptResult::no_descriptor;
-  net::Descriptor fd = net::accept_from(listener_.get());
+  net::Descriptor fd = net::accept_connection(listener_.get());
   if (!fd && (errno == EMFILE || errno == ENFILE)) fd = accept_without_descriptors(over_capacity);
   if (fd) {
     add_connection(std::move(fd), over_capacity);
@@ -106,18 +106,18 @@
 // descriptors too. Closes a connection if one can be evicted; otherwise takes one from the reserve for a
 // refusal.
 net::Descriptor HttpFront::accept_without_descriptors(bool& over_capacity) {
-  if (!net::anybody_waits(listener_.get())) {
+  if (!net::has_pending_connection(listener_.get())) {
     errno = EAGAIN;
     return {};
   }
   if (!release_connection()) {
     over_capacity = true;
-    if (!spare_.lend()) {
+    if (!spare_.release_one()) {
       errno = EMFILE;
       return {};
     }
   }
-  return net::accept_from(listener_.get());
+  return net::accept_connection(listener_.get());
 }
 
 void HttpFront::add_connection(net::Descriptor fd, bool over_capacity) {
@@ -131,12 +131,12 @@
   if (over_capacity) release_slot(*connection);
   connection->stream = std::make_unique<net::Stream>(
       loop_, std::move(fd), true, kMaxRequestBodyBytes, kMaxResponseBytes,
-      net::Stream::Told{nullptr, [this, connection] { on_data_received(*connection); },
-                        [this, connection] { on_response_written(*connection); },
-                        [this, connection](bool) { close(*connection); }});
+      net::Stream::Callbacks{nullptr, [this, connection] { on_data_received(*connection); },
+                             [this, connection] { on_response_written(*connection); },
+                             [this, connection](bool) { close(*connection); }});
   // A request that is already there is refused in this turn, so that the descriptor is free for the next
   // connection.
-  if (over_capacity) connection->stream->read_now();
+  if (over_capacity) connection->stream->read_available();
 }
 
 // Accepting is retried when a connection closes, after kFirstRequestGrace (when a silent connection over
@@ -147,7 +147,7 @@
   throttled.write({{"why", is_at_descriptor_limit() ? "all slots and reserved descriptors are in use"
                                                     : "out of descriptors"}});
   if (std::exchange(is_accept_scheduled_, true)) return;
-  loop_.at(loop_.now() + kFirstRequestGrace, [this] {
+  loop_.call_at(loop_.now() + kFirstRequestGrace, [this] {
     is_accept_scheduled_ = false;
     accept();
   });
@@ -155,8 +155,8 @@
 
 // Refills the reserve as far as the limit allows. Returns false if the process is out of descriptors.
 bool HttpFront::replenish_reserve() {
-  while (spare_.held() < reserved_ && !is_at_descriptor_limit()) {
-    if (!spare_.take_back()) return false;
+  while (spare_.held_count() < reserved_ && !is_at_descriptor_limit()) {
+    if (!spare_.reacquire_one()) return false;
   }
   return true;
 }
@@ -183,8 +183,8 @@
   for (auto at = connections_.begin(); at != connections_.end();) {
     Connection& connection = *(at++)->second;
     if (connection.is_slotless || activity(connection) != Activity::silent) continue;
-    connection.stream->read_now();
-    if (connection.stream->closed()) return true;
+    connection.stream->read_available();
+    if (connection.stream->is_closed()) return true;
     if (activity(connection) != Activity::silent) continue;
     connection.over_capacity = true;
     release_slot(connection);
@@ -194,7 +194,7 @@
 }
 
 void HttpFront::on_data_received(Connection& connection) {
-  net::Ring& in = connection.stream->in();
+  net::RingBuffer& in = connection.stream->in();
   if (connection.is_closing) {
     // Beyond the limit the ring keep_alive full and nothing more is read, so that 60 MB from one client do
     // not delay others.
@@ -202,17 +202,18 @@
     if (connection.discarded_bytes <= kMaxDiscardedBytes) in.clear();
     return;
   }
-  while (!connection.is_request_pending && !connection.is_responding && !connection.stream->closed() &&
+  while (!connection.is_request_pending && !connection.is_responding && !connection.stream->is_closed() &&
          !in.empty()) {
-    if (!connection.reader.begun()) connection.first_byte_at = loop_.now();
+    if (!connection.reader.has_started()) connection.first_byte_at = loop_.now();
     connection.has_sent_data = true;
-    in.drop(connection.reader.take(in.front()));
-    if (connection.reader.state() == net::HttpReader::State::bad) {
+    in.consume(connection.reader.feed(in.front()));
+    if (connection.reader.state() == net::HttpParser::State::malformed) {
       connection.is_request_pending = true;
       static log::RateLimitedEvent throttled(log::Level::info, "client.unreadable");
-      throttled.write({{"status", connection.reader.complaint()}});
-      respond(connection, answer_text(connection.reader.complaint(), "the request cannot be read\n", false), false);
-    } else if (connection.reader.state() == net::HttpReader::State::done) {
+      throttled.write({{"status", connection.reader.error_status()}});
+      respond(connection,
+              answer_text(connection.reader.error_status(), "the request cannot be read\n", false), false);
+    } else if (connection.reader.state() == net::HttpParser::State::complete) {
       return on_request_complete(connection);  // pipelined data waits until this request is answered
     }
   }
@@ -222,15 +223,17 @@
   connection.is_request_pending = true;
   const net::HttpMessage& message = connection.reader.message();
   const bool has_slot = acquire_slot(connection);
-  connection.keep_alive = message.stays() && has_slot;
-  const std::string path = message.second.substr(0, message.second.find('?'));
+  connection.keep_alive = message.keeps_alive() && has_slot;
+  const std::string path = message.target_or_status.substr(0, message.target_or_status.find('?'));
   if (path == "/healthz") {
-    if (message.first != "GET") return respond_error(connection.number, 405, "only GET is answered here\n");
+    if (message.method_or_version != "GET")
+      return respond_error(connection.number, 405, "only GET is answered here\n");
     if (is_stopping_) return respond_error(connection.number, 503, "stopping\n");
     return respond(connection, answer_text(200, "serving\n", connection.keep_alive), connection.keep_alive);
   }
   if (path != "/api") return respond_error(connection.number, 404, "there is nothing here\n");
-  if (message.first != "POST") return respond_error(connection.number, 405, "only POST is answered here\n");
+  if (message.method_or_version != "POST")
+    return respond_error(connection.number, 405, "only POST is answered here\n");
   auto parsed = parse_multiget(message, settings_);
   if (const RequestError* error = std::get_if<RequestError>(&parsed)) {
     static log::RateLimitedEvent throttled(log::Level::info, "client.bad_request");
@@ -278,9 +281,9 @@
   connection.is_responding = true;
   connection.idle_since = loop_.now();
   connection.keep_alive = keep_alive;
-  connection.reader.restart();
+  connection.reader.reset();
   // A response that does not fit the buffer closes the connection, which the client recognises as a failure.
-  if (!connection.stream->out().put(text)) return close(connection);
+  if (!connection.stream->out().append(text)) return close(connection);
   connection.stream->flush();
 }
 
@@ -293,13 +296,13 @@
   // Data received meanwhile is handled after the events of other connections. Otherwise a client that
   // pipelines requests without a pause would occupy the loop.
   const std::uint64_t number = connection.number;
-  loop_.at(loop_.now(), [this, number] {
+  loop_.call_at(loop_.now(), [this, number] {
     const auto at = connections_.find(number);
     if (at == connections_.end()) return;
     Connection& next = *at->second;  // may be closed below, but is destroyed only after the turn
     next.is_responding = false;
     on_data_received(next);
-    next.stream->read_on();
+    next.stream->resume_reading();
   });
 }
 
@@ -310,8 +313,8 @@
   release_slot(connection);
   connection.idle_since = loop_.now();
   connection.stream->in().clear();
-  connection.stream->finish();
-  connection.stream->read_on();
+  connection.stream->shutdown_write();
+  connection.stream->resume_reading();
 }
 
 // Enforces the limits on every wait for a client: for the first byte, for the end of a request, for reading a
@@ -326,12 +329,12 @@
     if (connection.is_request_pending) continue;
     if (connection.is_closing) {
       if (now >= connection.idle_since + settings_.connect_timeout) {
-        connection.stream->read_now();
+        connection.stream->read_available();
         close(connection);
       }
     } else if (connection.is_responding) {
       if (now >= connection.idle_since + settings_.max_route_timeout) close(connection);
-    } else if (connection.reader.begun()) {
+    } else if (connection.reader.has_started()) {
       if (now >= connection.first_byte_at + kRequestTimeout) time_out_request(connection);
     } else if (now >= connection.idle_since + kRequestTimeout) {
       if (connection.has_sent_data) {
@@ -353,7 +356,7 @@
   // Something other than a client may have released descriptors, and the loop does not report clients again
   // that are already in the queue.
   if (may_accept_more_) accept();
-  loop_.at(now + kTimeoutCheckInterval, [this] { check_timeouts(); });
+  loop_.call_at(now + kTimeoutCheckInterval, [this] { check_timeouts(); });
 }
 
 void HttpFront::time_out_request(Connection& connection) {
@@ -373,14 +376,14 @@
   if (may_accept_more_) {
     // Deferred, since accept() itself closes connections to free a slot or a descriptor.
     may_accept_more_ = false;
-    loop_.at(loop_.now(), [this] { accept(); });
+    loop_.call_at(loop_.now(), [this] { accept(); });
   }
 }
 
 Activity HttpFront::activity(const Connection& connection) const {
   if (connection.is_request_pending || connection.is_responding) return Activity::busy;
   if (connection.is_closing) return Activity::closing;
-  if (connection.reader.begun()) return Activity::receiving;
+  if (connection.reader.has_started()) return Activity::receiving;
   return connection.has_sent_data ? Activity::idle : Activity::silent;
 }
 
@@ -407,8 +410,8 @@
 // send the next one again.
 bool HttpFront::evict(Connection& connection) {
   const Activity before = activity(connection);
-  connection.stream->read_now();
-  if (connection.stream->closed() || connection.is_closing) return true;
+  connection.stream->read_available();
+  if (connection.stream->is_closed() || connection.is_closing) return true;
   if (activity(connection) != before) return false;
   tally_.evicted += 1;
   if (before == Activity::idle) {
@@ -416,7 +419,7 @@
   } else {
     refuse_at_capacity(connection);
   }
-  return connection.stream->closed() || connection.is_closing;
+  return connection.stream->is_closed() || connection.is_closing;
 }
 
 // Frees a slot for a new connection by closing another one gracefully. Connections without a slot are not
@@ -434,7 +437,7 @@
 bool HttpFront::free_descriptor(bool (*is_eligible)(const Connection&)) {
   while (Connection* const first = eviction_candidate(is_eligible)) {
     if (!evict(*first)) continue;
-    if (!first->stream->closed()) close(*first);
+    if (!first->stream->is_closed()) close(*first);
     return true;
   }
   return false;
@@ -473,7 +476,7 @@
 void HttpFront::stop_accepting() {
   if (!listener_) return;
   if (!is_listener_shared_) {
-    loop_.at(loop_.now() + kLateConnectGrace, [this] { close_listener_when_queue_is_empty(); });
+    loop_.call_at(loop_.now() + kLateConnectGrace, [this] { close_listener_when_queue_is_empty(); });
     return;
   }
   while (accept()) {
@@ -484,13 +487,13 @@
 void HttpFront::close_listener_when_queue_is_empty() {
   while (accept()) {
   }
-  if (!listener_ || !net::anybody_waits(listener_.get())) return close_listener();
-  loop_.at(loop_.now() + kFirstRequestGrace, [this] { close_listener_when_queue_is_empty(); });
+  if (!listener_ || !net::has_pending_connection(listener_.get())) return close_listener();
+  loop_.call_at(loop_.now() + kFirstRequestGrace, [this] { close_listener_when_queue_is_empty(); });
 }
 
 void HttpFront::close_listener() {
   if (!listener_) return;
-  loop_.forget(listener_.get(), watch_id_);
+  loop_.unwatch(listener_.get(), watch_id_);
   listener_.close();
 }
 
@@ -502,7 +505,7 @@
   for (auto at = connections_.begin(); at != connections_.end();) {
     Connection& connection = *(at++)->second;
     if (connection.is_request_pending || connection.is_responding || connection.is_closing) continue;
-    if (!connection.reader.begun()) {
+    if (!connection.reader.has_started()) {
       if (connection.has_sent_data || connection.idle_since < since) close_gracefully(connection);
     } else if (connection.first_byte_at < since) {
       time_out_request(connection);
--- a/src/clients/http_front.h
+++ b/src/clients/http_front.h
@@ -16,7 +16,7 @@
 #include "net/http.h"
 #include "net/loop.h"
 #include "net/socket.h"
-#include "net/spare.h"
+#include "net/descriptor_reserve.h"
 
 namespace marbledyke::clients {
 
@@ -26,7 +26,7 @@
 // needed for about one round trip, so a few suffice to refuse any number of clients.
 inline constexpr std::size_t kReservedDescriptors = 8;
 
-class HttpFront final : public front::Front, public net::Watcher {
+class HttpFront final : public front::Front, public net::EventHandler {
  public:
   // Uses at most `max_descriptors` for connections, including the reserved ones. `listening` is an already
   // listening socket that other processes accept from as well; without one, a socket is opened at `listen`.
@@ -47,7 +47,7 @@
   bool is_writing() const override;
   std::size_t size() const override { return connections_.size(); }
 
-  void ready(bool readable, bool writable) override;
+  void on_ready(bool readable, bool writable) override;
   void destroy_closed() override;
 
   // Counts since the start, in connections.
@@ -73,7 +73,7 @@
   void schedule_accept();
   std::size_t slots() const { return max_descriptors_ - reserved_; }
   std::size_t slots_used() const { return connections_.size() - slotless_; }
-  bool is_at_descriptor_limit() const { return connections_.size() + spare_.held() >= max_descriptors_; }
+  bool is_at_descriptor_limit() const { return connections_.size() + spare_.held_count() >= max_descriptors_; }
   bool replenish_reserve();
   bool acquire_slot(Connection& connection);
   bool displace_silent_connection();
@@ -104,7 +104,7 @@
   std::uint32_t watch_id_ = 0;
   std::size_t max_descriptors_;
   const std::size_t reserved_;  // of these, for connections that find no slot
-  net::Spare spare_;
+  net::DescriptorReserve spare_;
   std::size_t slotless_ = 0;  // connections that hold no slot: over capacity, or closing
   bool is_stopping_ = false, closes_after_answers_ = false;
   bool may_accept_more_ = false;
--- a/src/clients/multiget_request.cpp
+++ b/src/clients/multiget_request.cpp
@@ -152,7 +152,7 @@
 
 std::string answer_text(int status, std::string_view body, bool keep_alive, Duration retry_after) {
   const bool is_json = status == 200 && body.starts_with('{');
-  return net::answer_text(status, is_json ? "application/json" : "text/plain", body, keep_alive, retry_after);
+  return net::format_response(status, is_json ? "application/json" : "text/plain", body, keep_alive, retry_after);
 }
 
 }  // namespace marbledyke::clients
--- a/src/command/check.cpp
+++ b/src/command/check.cpp
@@ -6,7 +6,7 @@
 
 #include "config/gatherer_config.h"
 #include "decision_engine.h"
-#include "list/news.h"
+#include "list/list_update.h"
 #include "operator_file/helper.h"
 
 namespace marbledyke::command {
@@ -26,7 +26,7 @@
     const config::GathererConfig gatherer_config = config::parse_gatherer_config(text);
     DecisionEngine(gatherer_config.terms, gatherer_config.seed);
     if (gatherer_config.known_list.is_object())
-      list::read_news(gatherer_config.known_list, gatherer_config.settings, {});
+      list::parse_list_update(gatherer_config.known_list, gatherer_config.settings, {});
     std::cout << path << ": good" << std::endl;
     return true;
   } catch (const std::exception& wrong) {
--- a/src/command/search_main.cpp
+++ b/src/command/search_main.cpp
@@ -39,7 +39,7 @@
         gatherer.loop(), gatherer_config.settings,
         protocol == search::Protocol::sru ? sru::make_talk : z3950::make_talk,
         [&gatherer] { return gatherer.release_connection(); });
-    carrier->serve(std::move(databases));
+    carrier->set_databases(std::move(databases));
     gatherer.add(std::move(carrier));
   }
 }
--- a/src/events/pipe.cpp
+++ b/src/events/pipe.cpp
@@ -17,7 +17,7 @@
   watch_id_ = loop_.watch(fd_.get(), *this);
 }
 
-Pipe::~Pipe() { loop_.forget(fd_.get(), watch_id_); }
+Pipe::~Pipe() { loop_.unwatch(fd_.get(), watch_id_); }
 
 void Pipe::write_line(std::string_view text) {
   if (pending_.size() + text.size() + 1 > kMaxPendingBytes) {
@@ -29,7 +29,7 @@
   flush();
 }
 
-void Pipe::ready(bool, bool) { flush(); }
+void Pipe::on_ready(bool, bool) { flush(); }
 
 void Pipe::flush() {
   while (!pending_.empty()) {
--- a/src/events/pipe.h
+++ b/src/events/pipe.h
@@ -14,7 +14,7 @@
 
 inline constexpr std::size_t kMaxPendingBytes = 256 * 1024;
 
-class Pipe final : public net::Watcher {
+class Pipe final : public net::EventHandler {
  public:
   // Throws std::system_error if `path` is not a named pipe or nobody has it open for reading. The loop must
   // outlive this object.
@@ -28,7 +28,7 @@
   // Returns the number of lines dropped so far.
   std::uint64_t dropped() const { return dropped_; }
 
-  void ready(bool readable, bool writable) override;
+  void on_ready(bool readable, bool writable) override;
 
  private:
   void flush();
--- a/src/gatherer/gatherer.cpp
+++ b/src/gatherer/gatherer.cpp
@@ -38,8 +38,8 @@
 // Returns the number of descriptors for clients: those that the listed servers do not need, but at least half
 // of all.
 std::size_t client_descriptors(const config::GathererConfig& gatherer_config, std::size_t listed) {
-  const int remaining =
-      gatherer_config.max_sockets - kOwnDescriptors - servers::kFewLinks * static_cast<int>(listed);
+  const int remaining = gatherer_config.max_sockets - kOwnDescriptors -
+                        servers::kMaxIsolatingConnections * static_cast<int>(listed);
   return static_cast<std::size_t>(std::max(remaining, gatherer_config.max_sockets / 2));
 }
 
@@ -49,9 +49,9 @@
              : 0;
 }
 
-list::News parse_known_list(const config::GathererConfig& gatherer_config, Duration unix_start) {
+list::ListUpdate parse_known_list(const config::GathererConfig& gatherer_config, Duration unix_start) {
   try {
-    return list::read_news(gatherer_config.known_list, gatherer_config.settings, unix_start);
+    return list::parse_list_update(gatherer_config.known_list, gatherer_config.settings, unix_start);
   } catch (const config::BadInput& error) {
     throw config::BadInput(std::string("known.") + error.what());
   }
@@ -72,27 +72,28 @@
                   client_descriptors(gatherer_config, known_server_count(gatherer_config)),
                   std::move(listening)),
       list_watch_(loop_, gatherer_config, unix_start_,
-                  {[this](list::News news) { list_updates_.push_back(std::move(news)); },
+                  {[this](list::ListUpdate news) { list_updates_.push_back(std::move(news)); },
                    [this](Duration most_backoff) { list_refusals_.push_back(most_backoff); }}),
       pending_(static_cast<std::size_t>(gatherer_config.settings.max_pending)) {
-  loop_.tell_long_turns(kLongTurnThreshold, [this](const net::Loop::Turn& turn) {
+  loop_.report_long_turns(kLongTurnThreshold, [this](const net::Loop::Turn& turn) {
     long_turn_event_.write(
-        {{"ms", turn.took / 1ms}, {"processor_ms", turn.processor / 1ms}, {"in_hand", unanswered_}});
+        {{"ms", turn.duration / 1ms}, {"processor_ms", turn.cpu_time / 1ms}, {"in_hand", unanswered_}});
   });
   decision_engine_.advance_clock(loop_.now());
   if (gatherer_config.known_list.is_object()) {
-    list::News known = parse_known_list(gatherer_config, unix_start_);
-    known.whole = true;
-    servers_.listed(known);
+    list::ListUpdate known = parse_known_list(gatherer_config, unix_start_);
+    known.is_snapshot = true;
+    servers_.apply_list_update(known);
     decision_engine_.on_list_begin(true, true);
-    for (const list::Entry& entry : known.entries) decision_engine_.on_list_entry(entry.row);
+    for (const list::ServerEntry& entry : known.entries) decision_engine_.on_list_entry(entry.row);
     decision_engine_.on_list_complete();
-    list_watch_.held(known.index);
-    log::event(log::Level::info, "list.remembered",
-               {{"servers", known.entries.size()}, {"version", known.index}, {"left_out", known.skipped}});
-    counters_.unreadable_entries += static_cast<std::uint64_t>(known.skipped);
+    list_watch_.set_known_index(known.index);
+    log::event(
+        log::Level::info, "list.remembered",
+        {{"servers", known.entries.size()}, {"version", known.index}, {"left_out", known.skipped_entries}});
+    counters_.unreadable_entries += static_cast<std::uint64_t>(known.skipped_entries);
   }
-  if (!gatherer_config.settings.list_polled) list_watch_.ask(true);
+  if (!gatherer_config.settings.list_polled) list_watch_.request_list(true);
 }
 
 void Gatherer::add(std::unique_ptr<front::Front> front) {
@@ -102,9 +103,9 @@
 
 void Gatherer::add(std::unique_ptr<carrier::Carrier> carrier) {
   if (gatherer_config_.known_list.is_object()) {
-    list::News known = parse_known_list(gatherer_config_, unix_start_);
-    known.whole = true;
-    carrier->listed(known);
+    list::ListUpdate known = parse_known_list(gatherer_config_, unix_start_);
+    known.is_snapshot = true;
+    carrier->apply_list_update(known);
   }
   carriers_.push_back(std::move(carrier));
 }
@@ -116,11 +117,12 @@
 }
 
 bool Gatherer::has_events() const {
-  if (std::any_of(carriers_.begin(), carriers_.end(),
-                  [](const auto& one) { return !one->ended.empty() || !one->probed.empty(); }))
+  if (std::any_of(carriers_.begin(), carriers_.end(), [](const auto& one) {
+        return !one->finished_sends.empty() || !one->finished_probes.empty();
+      }))
     return true;
-  return is_wake_due_ || !servers_.ended.empty() || !servers_.probed.empty() || !list_updates_.empty() ||
-         !list_refusals_.empty() || !second_steps_to_submit_.empty() ||
+  return is_wake_due_ || !servers_.finished_sends.empty() || !servers_.finished_probes.empty() ||
+         !list_updates_.empty() || !list_refusals_.empty() || !second_steps_to_submit_.empty() ||
          std::any_of(fronts_.begin(), fronts_.end(), [](const front::Front* one) {
            return !one->requests.empty() || !one->departed.empty();
          });
@@ -145,14 +147,14 @@
 }
 
 bool Gatherer::run_once() {
-  if (has_events()) loop_.at(loop_.now(), [] {});  // do not wait: executing decisions caused events
-  loop_.gather();
+  if (has_events()) loop_.call_at(loop_.now(), [] {});  // do not wait: executing decisions caused events
+  loop_.run_once();
   if (has_events()) {
     deliver_events();
     execute_decisions();
   }
   for (front::Front* one : fronts_) one->destroy_closed();
-  for (const auto& one : carriers_) one->bury();
+  for (const auto& one : carriers_) one->destroy_closed();
   if (!stop_deadline_ || is_accepting_) return true;
   if (closes_after_answers_) {
     for (front::Front* one : fronts_) one->close_idle(loop_.now() - kNewConnectionsPeriod);
@@ -176,15 +178,15 @@
   for (front::Front* one : fronts_) one->announce_stop();
   log::event(log::Level::info, "gatherer.stopping",
              {{"in_hand", unanswered_}, {"clients", http_front_.size()}});
-  loop_.at(loop_.now() + kNewConnectionsPeriod, [this] {
+  loop_.call_at(loop_.now() + kNewConnectionsPeriod, [this] {
     is_accepting_ = false;
     for (front::Front* one : fronts_) one->stop_accepting();
   });
-  loop_.at(std::max(*stop_deadline_ - settings.max_latency_budget, loop_.now() + kNewConnectionsPeriod),
-           [this] {
-             closes_after_answers_ = true;
-             for (front::Front* one : fronts_) one->close_after_answers();
-           });
+  loop_.call_at(std::max(*stop_deadline_ - settings.max_latency_budget, loop_.now() + kNewConnectionsPeriod),
+                [this] {
+                  closes_after_answers_ = true;
+                  for (front::Front* one : fronts_) one->close_after_answers();
+                });
 }
 
 void Gatherer::reload(const config::GathererConfig& fresh) {
@@ -203,7 +205,8 @@
   } else {
     log::event(log::Level::info, "configuration.read_again", {{"discovery", fresh.discovery_host}});
   }
-  if (fresh.discovery != discovery_ || reload_list) list_watch_.move(fresh.discovery, fresh.discovery_host);
+  if (fresh.discovery != discovery_ || reload_list)
+    list_watch_.set_endpoint(fresh.discovery, fresh.discovery_host);
   discovery_ = fresh.discovery;
 }
 
@@ -249,7 +252,7 @@
   gatherer_config_.terms = fresh.terms;
   gatherer_config_.settings_index = fresh.settings_index;
   current = new_settings;
-  if (becomes_pushed) list_watch_.ask(true);
+  if (becomes_pushed) list_watch_.request_list(true);
   if (fresh.settings_index) {
     log::event(log::Level::info, "configuration.settings_taken",
                {{"changed", changed}, {"in_hand", unanswered_}, {"settings_index", *fresh.settings_index}});
@@ -261,7 +264,7 @@
 }
 
 void Gatherer::apply_operator_terms(const operator_file::Terms& terms) {
-  addresses::Rules rules = terms.connecting;
+  addresses::ConnectSettings rules = terms.connecting;
   if (!terms.attempt_stated) rules.attempt = gatherer_config_.settings.connect_timeout;
   rules.race = std::max(rules.race, rules.attempt);
   servers_.configure(rules, terms.servers);
@@ -273,19 +276,19 @@
 void Gatherer::deliver_events() {
   is_wake_due_ = false;
   decision_engine_.advance_clock(loop_.now());
-  for (list::News& news : std::exchange(list_updates_, {})) on_list_update(std::move(news));
+  for (list::ListUpdate& news : std::exchange(list_updates_, {})) on_list_update(std::move(news));
   for (const Duration most_backoff : std::exchange(list_refusals_, {})) {
     decision_engine_.on_list_call_refused(most_backoff);
     // Where the list is pushed, the decision engine never requests it, so the connection is reopened here.
     if (!gatherer_config_.settings.list_polled)
-      loop_.at(loop_.now() + list::kAgentBackoff, [this] { list_watch_.ask(true); });
+      loop_.call_at(loop_.now() + list::kAgentBackoff, [this] { list_watch_.request_list(true); });
   }
-  for (servers::Ended& ended : std::exchange(servers_.ended, {})) on_send_ended(ended);
-  for (const servers::Probed& probed : std::exchange(servers_.probed, {}))
+  for (servers::SendResult& ended : std::exchange(servers_.finished_sends, {})) on_send_ended(ended);
+  for (const servers::ProbeResult& probed : std::exchange(servers_.finished_probes, {}))
     decision_engine_.on_probe_ended(probed.server, probed.fate, probed.elapsed, probed.report);
   for (const auto& one : carriers_) {
-    for (servers::Ended& ended : std::exchange(one->ended, {})) on_send_ended(ended);
-    for (const servers::Probed& probed : std::exchange(one->probed, {}))
+    for (servers::SendResult& ended : std::exchange(one->finished_sends, {})) on_send_ended(ended);
+    for (const servers::ProbeResult& probed : std::exchange(one->finished_probes, {}))
       decision_engine_.on_probe_ended(probed.server, probed.fate, probed.elapsed, probed.report);
   }
   for (const RequestId& id : std::exchange(second_steps_to_submit_, {})) {
@@ -343,25 +346,25 @@
   --unanswered_;
   for (std::size_t i = 0; i < mg.parts.size() && mg.sends_out > 0; ++i) {
     const RequestId part = part_id(mg.id, i);
-    for (int send = 0; send < mg.parts[i].sends; ++send) servers_.unsend(part, send);
+    for (int send = 0; send < mg.parts[i].sends; ++send) servers_.cancel_if_unsent(part, send);
   }
 }
 
-void Gatherer::on_list_update(list::News&& news) {
-  servers_.listed(news);
-  for (const auto& one : carriers_) one->listed(news);
-  decision_engine_.on_list_begin(news.whole, false);
+void Gatherer::on_list_update(list::ListUpdate&& news) {
+  servers_.apply_list_update(news);
+  for (const auto& one : carriers_) one->apply_list_update(news);
+  decision_engine_.on_list_begin(news.is_snapshot, false);
   // A complete list has no information on a server whose entry cannot be parsed, so the decision engine is
   // given the server's last known entry again.
   std::size_t kept = 0;
-  for (const std::string& name : news.unreadable) {
-    const ListEntry* const last = news.whole ? servers_.last_row(name) : nullptr;
+  for (const std::string& name : news.unreadable_servers) {
+    const ListEntry* const last = news.is_snapshot ? servers_.last_row(name) : nullptr;
     if (last == nullptr) continue;
     decision_engine_.on_list_entry(*last);
     kept += 1;
   }
-  counters_.unreadable_entries += static_cast<std::uint64_t>(news.skipped);
-  for (const list::Entry& entry : news.entries) {
+  counters_.unreadable_entries += static_cast<std::uint64_t>(news.skipped_entries);
+  for (const list::ServerEntry& entry : news.entries) {
     decision_engine_.on_list_entry(entry.row);
     log::event(log::Level::debug, "list.server",
                {{"server", entry.row.server},
@@ -370,11 +373,13 @@
                                                                           : "gone"}});
   }
   decision_engine_.on_list_complete();
-  http_front_.set_max_descriptors(client_descriptors(gatherer_config_, servers_.servers_listed()));
+  http_front_.set_max_descriptors(client_descriptors(gatherer_config_, servers_.server_count()));
   if (!news.entries.empty())
-    log::event(
-        log::Level::info, "list.came",
-        {{"version", news.index}, {"entries", news.entries.size()}, {"whole", news.whole}, {"kept", kept}});
+    log::event(log::Level::info, "list.came",
+               {{"version", news.index},
+                {"entries", news.entries.size()},
+                {"whole", news.is_snapshot},
+                {"kept", kept}});
 }
 
 // Ids for the decision engine: eight hexadecimal digits of the multiget's number, four zeros, and four digits
@@ -467,7 +472,7 @@
   }
 }
 
-void Gatherer::on_send_ended(servers::Ended& ended) {
+void Gatherer::on_send_ended(servers::SendResult& ended) {
   std::size_t at = 0;
   PendingMultiget* mg = find_pending(ended.part, &at);
   if (!check_invariant(mg != nullptr, "a send that ends belongs to a multiget in hand")) return;
@@ -497,11 +502,12 @@
 void Gatherer::execute_decisions() {
   while (const auto decision = decision_engine_.next_reply()) on_reply_decision(*decision);
   while (const auto gone = decision_engine_.next_cancellation()) {
-    const bool carried = std::any_of(carriers_.begin(), carriers_.end(),
-                                     [&](const auto& one) { return one->withdraw(gone->part, gone->send); });
-    if (!carried) servers_.withdraw(gone->part, gone->send);
+    const bool carried = std::any_of(carriers_.begin(), carriers_.end(), [&](const auto& one) {
+      return one->cancel_send(gone->part, gone->send);
+    });
+    if (!carried) servers_.cancel_send(gone->part, gone->send);
   }
-  std::map<std::string, std::vector<servers::Errand>> calls;
+  std::map<std::string, std::vector<servers::SendRequest>> calls;
   while (const auto send = decision_engine_.next_send()) {
     std::size_t at = 0;
     PendingMultiget* mg = find_pending(send->part, &at);
@@ -513,38 +519,40 @@
       count->sends += 1;
       count->further += part.sends > 0 ? 1 : 0;
     }
-    servers::Errand errand;
-    errand.part = send->part;
-    errand.send = part.sends++;
-    errand.id = mg->request_id + '.' + std::to_string(part.shard);
+    servers::SendRequest request;
+    request.part = send->part;
+    request.send = part.sends++;
+    request.id = mg->request_id + '.' + std::to_string(part.shard);
     if (at >= mg->step_begin && mg->step == 2) {
-      errand.id += ".phase2";
-      errand.more = ",from=" + mg->first_step_shards + (mg->is_first_step_complete ? ",whole=1" : ",whole=0");
+      request.id += ".phase2";
+      request.list_suffix =
+          ",from=" + mg->first_step_shards + (mg->is_first_step_complete ? ",whole=1" : ",whole=0");
     }
-    errand.shard = part.shard;
-    errand.once = mg->non_retriable;
-    errand.text = mg->text;
-    errand.not_past = send->deadline;
-    errand.begun_by = send->latest_start;
-    errand.pulled = loop_.now();
+    request.shard = part.shard;
+    request.non_retriable = mg->non_retriable;
+    request.text = mg->text;
+    request.deadline = send->deadline;
+    request.start_deadline = send->latest_start;
+    request.issued_at = loop_.now();
     mg->sends_out += 1;
     mg->last_send = loop_.now();
-    calls[std::string(send->server)].push_back(std::move(errand));
+    calls[std::string(send->server)].push_back(std::move(request));
   }
-  for (auto& [server, errands] : calls) {
+  for (auto& [server, requests] : calls) {
     carrier::Carrier* const carrier = carrier_for(server);
-    carrier != nullptr ? carrier->call(server, std::move(errands))
-                       : servers_.call(server, std::move(errands));
+    carrier != nullptr ? carrier->call(server, std::move(requests))
+                       : servers_.call(server, std::move(requests));
   }
   while (const auto server = decision_engine_.next_probe()) {
     carrier::Carrier* const carrier = carrier_for(*server);
     carrier != nullptr ? carrier->probe(std::string(*server)) : servers_.probe(std::string(*server));
   }
-  while (const auto call = decision_engine_.next_list_call()) list_watch_.ask(*call == ListCall::watch);
+  while (const auto call = decision_engine_.next_list_call())
+    list_watch_.request_list(*call == ListCall::watch);
   while (const auto note = decision_engine_.next_log_message())
     log::event(log::Level::info, "decisions.note", {{"what", *note}});
   while (const auto wake = decision_engine_.next_wake_delay())
-    loop_.at(loop_.now() + *wake, [this] { is_wake_due_ = true; });
+    loop_.call_at(loop_.now() + *wake, [this] { is_wake_due_ = true; });
 }
 
 // Handles the decision on a step, once per step. Connections are not ordered among each other: a send written
@@ -564,11 +572,11 @@
       (mg->sends_out > 0 ? std::max(latest_send, silent_until) : latest_send) + kSocketTolerance;
   if (loop_.now() > settled_at) return finish_step(*mg, decision);
   const Duration after_tick = loop_.now() + gatherer_config_.settings.tick;
-  loop_.at(decision.outcome == MultigetOutcome::answer ? std::max(after_tick, settled_at) : after_tick,
-           [this, decision] {
-             PendingMultiget* late = find_pending(decision.multiget);
-             if (late != nullptr && !late->is_answered) finish_step(*late, decision);
-           });
+  loop_.call_at(decision.outcome == MultigetOutcome::answer ? std::max(after_tick, settled_at) : after_tick,
+                [this, decision] {
+                  PendingMultiget* late = find_pending(decision.multiget);
+                  if (late != nullptr && !late->is_answered) finish_step(*late, decision);
+                });
 }
 
 void Gatherer::finish_step(PendingMultiget& mg, const ReplyDecision& decision) {
--- a/src/gatherer/gatherer.h
+++ b/src/gatherer/gatherer.h
@@ -16,12 +16,12 @@
 #include "config/gatherer_config.h"
 #include "decision_engine.h"
 #include "front/front.h"
-#include "list/watch.h"
+#include "list/discovery_client.h"
 #include "log/log.h"
 #include "model/slot_map.h"
 #include "net/loop.h"
 #include "operator_file/terms.h"
-#include "servers/servers.h"
+#include "servers/shard_server_pool.h"
 #include "totals/totals.h"
 
 namespace marbledyke::gatherer {
@@ -57,8 +57,8 @@
   // From now on, counts each second of the wall clock by op type, and passes each window to `listener` as a
   // line of JSON after its end.
   void record_windows(std::function<void(const std::string& line)> listener);
-  const servers::Tally& tally() const { return servers_.tally(); }
-  const servers::Servers& servers() const { return servers_; }
+  const servers::Counters& tally() const { return servers_.counters(); }
+  const servers::ShardServerPool& servers() const { return servers_; }
 
  private:
   struct Part {
@@ -128,13 +128,13 @@
   void on_client_left(std::size_t front, std::uint64_t caller);
   void fail_remaining_at_stop();
   void submit_parts(PendingMultiget& mg);
-  void on_send_ended(servers::Ended& ended);
+  void on_send_ended(servers::SendResult& ended);
   void on_reply_decision(const ReplyDecision& decision);
   void finish_step(PendingMultiget& mg, const ReplyDecision& decision);
   void begin_second_step(PendingMultiget& mg, bool complete);
   void mark_answered(PendingMultiget& mg);
   void release_if_finished(PendingMultiget& mg);
-  void on_list_update(list::News&& news);
+  void on_list_update(list::ListUpdate&& news);
   carrier::Carrier* carrier_for(std::string_view server);
 
   bool apply_settings(const config::GathererConfig& fresh);
@@ -147,12 +147,12 @@
   net::Loop loop_;
   Duration unix_start_;
   DecisionEngine decision_engine_;
-  servers::Servers servers_;
+  servers::ShardServerPool servers_;
   std::vector<std::unique_ptr<carrier::Carrier>> carriers_;
   clients::HttpFront http_front_;
   std::vector<std::unique_ptr<front::Front>> extra_fronts_;
   std::vector<front::Front*> fronts_{&http_front_};  // all fronts, the platform's first
-  list::Watch list_watch_;
+  list::DiscoveryClient list_watch_;
   SlotMap<PendingMultiget> pending_;
   int pending_count_ = 0;  // multigets and parts, against the limit max_pending
   int unanswered_ = 0;     // multigets without their final answer
@@ -160,7 +160,7 @@
   std::map<std::pair<std::size_t, std::uint64_t>, RequestId> by_caller_;
   std::map<std::string, RequestId, std::less<>> by_request_id_;
   std::vector<RequestId> second_steps_to_submit_;  // whose parts are submitted in the next turn
-  std::vector<list::News> list_updates_;
+  std::vector<list::ListUpdate> list_updates_;
   std::vector<Duration> list_refusals_;  // upper bounds of the backoff after refused list requests
   bool is_wake_due_ = true;
   std::optional<Duration> stop_deadline_;  // in a planned stop: by when all multigets must be answered
--- a/src/gatherer/totals.cpp
+++ b/src/gatherer/totals.cpp
@@ -20,8 +20,8 @@
   recorder_->listener = std::move(listener);
   const std::int64_t ms = loop_.clock().wall() / 1ms;
   recorder_->window.start_ms = ms - ms % totals::kWindowMs;
-  loop_.at(loop_.now() + std::chrono::milliseconds(totals::kWindowMs - ms % totals::kWindowMs),
-           [this] { publish_window(); });
+  loop_.call_at(loop_.now() + std::chrono::milliseconds(totals::kWindowMs - ms % totals::kWindowMs),
+                [this] { publish_window(); });
 }
 
 // If the process stalled, the window that ended meanwhile is published late, under its own time; seconds in
@@ -31,8 +31,8 @@
   const std::int64_t ms = loop_.clock().wall() / 1ms;
   recorder.window.in_hand = static_cast<std::uint64_t>(unanswered_);
   recorder.window.broken_invariants = invariant_violations();
-  recorder.window.not_connected = servers_.tally().dial_failed;
-  recorder.window.dropped = servers_.tally().dropped;
+  recorder.window.not_connected = servers_.counters().dial_failed;
+  recorder.window.dropped = servers_.counters().dropped;
   char digest[17];
   std::snprintf(digest, sizeof digest, "%016llx", static_cast<unsigned long long>(gatherer_config_.digest));
   nlohmann::json event = {{"event", "window"},
@@ -44,16 +44,16 @@
   recorder.listener(event.dump());
   recorder.window.by_op_type.clear();
   recorder.window.start_ms = ms - ms % totals::kWindowMs;
-  loop_.at(loop_.now() + std::chrono::milliseconds(totals::kWindowMs - ms % totals::kWindowMs),
-           [this] { publish_window(); });
+  loop_.call_at(loop_.now() + std::chrono::milliseconds(totals::kWindowMs - ms % totals::kWindowMs),
+                [this] { publish_window(); });
 }
 
 void Gatherer::log_totals() {
   for (const auto& front : extra_fronts_) front->log_totals();
   for (const auto& carrier : carriers_) {
-    const carrier::Tally& t = carrier->tally();
+    const carrier::Counters& t = carrier->counters();
     log::event(log::Level::info, "carrier.totals",
-               {{"connections", carrier->connections()},
+               {{"connections", carrier->connection_count()},
                 {"opened", t.opened},
                 {"parts", t.parts},
                 {"answered", t.answered},
@@ -67,9 +67,9 @@
                 {"closed_by_server", t.closed_by_server},
                 {"out_of_step", t.out_of_step}});
   }
-  const servers::Tally& t = servers_.tally();
+  const servers::Counters& t = servers_.counters();
   const clients::HttpFront::Tally& c = http_front_.tally();
-  const addresses::Tally& a = servers_.book().tally();
+  const addresses::Counters& a = servers_.address_book().counters();
   log::event(log::Level::info, "gatherer.totals",
              {{"taken", counters_.accepted},
               {"answered", counters_.answered},
@@ -84,7 +84,7 @@
               {"sends", t.sends},
               {"probes", t.probes},
               {"connections_opened", t.opened},
-              {"connections", servers_.connections()},
+              {"connections", servers_.connection_count()},
               {"clients", http_front_.size()},
               {"accepted", c.accepted},
               {"let_go", c.closed_idle},
--- a/src/keeper/fleet_settings.cpp
+++ b/src/keeper/fleet_settings.cpp
@@ -110,7 +110,7 @@
         break;
       case SettingsAction::Type::start_receiver:
         // In a later turn: this may be called by the client that is replaced.
-        loop_.at(loop_.now(), [this, held = action->revision] { start_receiver(held); });
+        loop_.call_at(loop_.now(), [this, held = action->revision] { start_receiver(held); });
         break;
       case SettingsAction::Type::log:
         log::event(log::Level::warning, "settings.note", {{"what", action->message}});
--- a/src/keeper/gatherer_process.cpp
+++ b/src/keeper/gatherer_process.cpp
@@ -66,7 +66,7 @@
 
 // The reading end of the named pipe, which stays open from one gatherer to the next. Splits the input into
 // lines.
-class GathererProcess::EventPipe final : public net::Watcher {
+class GathererProcess::EventPipe final : public net::EventHandler {
  public:
   EventPipe(net::Loop& loop, const std::string& path, std::function<void(const std::string&)> on_line)
       : loop_(loop), on_line_(std::move(on_line)) {
@@ -81,9 +81,9 @@
     }
     watch_id_ = loop_.watch(fd_.get(), *this);
   }
-  ~EventPipe() override { loop_.forget(fd_.get(), watch_id_); }
+  ~EventPipe() override { loop_.unwatch(fd_.get(), watch_id_); }
 
-  void ready(bool, bool) override {
+  void on_ready(bool, bool) override {
     char bytes[64 * 1024];
     for (;;) {
       const ssize_t count = read(fd_.get(), bytes, sizeof bytes);
@@ -127,7 +127,7 @@
 }
 
 GathererProcess::~GathererProcess() {
-  if (pidfd_) loop_.forget(pidfd_.get(), watch_id_);
+  if (pidfd_) loop_.unwatch(pidfd_.get(), watch_id_);
 }
 
 std::string GathererProcess::path_of(const char* name) const {
@@ -207,7 +207,7 @@
       is_child_ = false;
       watch(identity.pid);
       if (start_ticks_of(identity.pid) == identity.start_ticks) return identity_ = identity;
-      loop_.forget(pidfd_.get(), watch_id_);
+      loop_.unwatch(pidfd_.get(), watch_id_);
       pidfd_.close();
     }
     if (flock(lock.get(), LOCK_EX | LOCK_NB) == 0) return std::nullopt;
@@ -220,7 +220,7 @@
   const auto wanted_address = net::parse_address(address_text);
   if (!wanted_address || !pidfd_) return {};
   sockaddr_storage wanted_name{};
-  const socklen_t wanted_size = wanted_address->put(wanted_name);
+  const socklen_t wanted_size = wanted_address->to_sockaddr(wanted_name);
   std::error_code ignored;
   for (const auto& entry :
        std::filesystem::directory_iterator("/proc/" + std::to_string(identity_.pid) + "/fd", ignored)) {
@@ -264,7 +264,7 @@
   return out;
 }
 
-void GathererProcess::ready(bool readable, bool) {
+void GathererProcess::on_ready(bool readable, bool) {
   if (!readable || !pidfd_) return;
   int status = 0;
   std::string how = "status unknown";
@@ -273,8 +273,8 @@
     how = describe_exit(status);
     was_killed_ = WIFSIGNALED(status) && WTERMSIG(status) == SIGKILL;
   }
-  event_pipe_->ready(true, false);  // its last events come before its exit
-  loop_.forget(pidfd_.get(), watch_id_);
+  event_pipe_->on_ready(true, false);  // its last events come before its exit
+  loop_.unwatch(pidfd_.get(), watch_id_);
   pidfd_.close();
   identity_ = {};
   callbacks_.on_exited(how);
--- a/src/keeper/gatherer_process.h
+++ b/src/keeper/gatherer_process.h
@@ -32,7 +32,7 @@
   std::string version;
 };
 
-class GathererProcess final : public net::Watcher {
+class GathererProcess final : public net::EventHandler {
  public:
   struct Callbacks {
     std::function<void(const std::string& how)> on_exited;
@@ -72,7 +72,7 @@
   Usage usage() const;
 
   // Called by the loop when the process has ended.
-  void ready(bool readable, bool writable) override;
+  void on_ready(bool readable, bool writable) override;
 
  private:
   class EventPipe;
--- a/src/keeper/keeper.cpp
+++ b/src/keeper/keeper.cpp
@@ -162,7 +162,7 @@
     log::event(log::Level::info, "keeper.stopped");
     return;
   }
-  timer_ = loop_.at(loop_.now() + kTickInterval, [this] { on_timer(); });
+  timer_ = loop_.call_at(loop_.now() + kTickInterval, [this] { on_timer(); });
 }
 
 // ---- actions ----
@@ -331,9 +331,9 @@
   if (!fd) return supervisor_->on_health_result(false);
   health_call_ = std::make_unique<net::Stream>(
       loop_, std::move(fd), false, 4096, 4096,
-      net::Stream::Told{
+      net::Stream::Callbacks{
           [this] {
-            health_call_->out().put("GET /healthz HTTP/1.1\r\nHost: keeper\r\nConnection: close\r\n\r\n");
+            health_call_->out().append("GET /healthz HTTP/1.1\r\nHost: keeper\r\nConnection: close\r\n\r\n");
             health_call_->flush();
           },
           [this] {
@@ -362,7 +362,7 @@
     error = failure.what();
   }
   if (has_more) {
-    loop_.at(loop_.now(), [this] { copy_next_block(); });
+    loop_.call_at(loop_.now(), [this] { copy_next_block(); });
     return;
   }
   copier_.reset();
@@ -399,7 +399,7 @@
   }
   version_check_ =
       std::make_unique<VersionCheck>(loop_, std::move(steps), [this](const VersionCheck::Result& result) {
-        loop_.at(loop_.now(), [this] { version_check_.reset(); });
+        loop_.call_at(loop_.now(), [this] { version_check_.reset(); });
         supervisor_->on_version_task_done(result.error, result.notes);
         carry_out_actions();
       });
@@ -431,7 +431,7 @@
       if (order.kind == OrderKind::take) {
         try {
           copier_ = std::make_unique<Versions::Copier>(versions_, order.version, order.from);
-          loop_.at(loop_.now(), [this] { copy_next_block(); });
+          loop_.call_at(loop_.now(), [this] { copy_next_block(); });
         } catch (const std::exception& error) {
           supervisor_->on_version_task_done(error.what());
         }
--- a/src/keeper/program.cpp
+++ b/src/keeper/program.cpp
@@ -102,7 +102,7 @@
     Keeper keeper(loop, disk, options);
     net::Signals signals(loop, signals_handled, [&keeper] { keeper.shut_down(); });
     log::event(log::Level::info, "keeper.serving", {{"control", control}});
-    while (keeper.is_running()) loop.gather();
+    while (keeper.is_running()) loop.run_once();
     return EXIT_SUCCESS;
   } catch (const std::exception& error) {
     std::cerr << "marbledyke-keeper: " << error.what() << '\n';
--- a/src/keeper/version_check.cpp
+++ b/src/keeper/version_check.cpp
@@ -20,12 +20,12 @@
 VersionCheck::VersionCheck(net::Loop& loop, std::vector<Step> steps,
                            std::function<void(const Result&)> on_done)
     : loop_(loop), steps_(std::move(steps)), on_done_(std::move(on_done)) {
-  timer_ = loop_.at(loop_.now(), [this] { run_next_step(); });
+  timer_ = loop_.call_at(loop_.now(), [this] { run_next_step(); });
 }
 
 VersionCheck::~VersionCheck() {
   loop_.cancel(timer_);
-  if (pidfd_) loop_.forget(pidfd_.get(), watch_id_);
+  if (pidfd_) loop_.unwatch(pidfd_.get(), watch_id_);
   if (pid_ <= 0) return;
   kill(pid_, SIGKILL);
   waitpid(pid_, nullptr, 0);
@@ -71,18 +71,18 @@
   }
   watch_id_ = loop_.watch(pidfd_.get(), *this);
   timed_out_ = false;
-  timer_ = loop_.at(loop_.now() + kTimeout, [this] {
+  timer_ = loop_.call_at(loop_.now() + kTimeout, [this] {
     timed_out_ = true;
     kill(pid_, SIGKILL);
   });
 }
 
-void VersionCheck::ready(bool, bool) {
+void VersionCheck::on_ready(bool, bool) {
   int status = 0;
   if (pid_ <= 0 || waitpid(pid_, &status, WNOHANG) != pid_) return;
   pid_ = -1;
   loop_.cancel(timer_);
-  loop_.forget(pidfd_.get(), watch_id_);
+  loop_.unwatch(pidfd_.get(), watch_id_);
   pidfd_.close();
   char bytes[kMaxOutputBytes];
   const ssize_t count = read(output_.get(), bytes, sizeof bytes);
@@ -100,7 +100,7 @@
     text += (text.empty() ? "" : "; ") + step.failure + ": " + output;
     if (step.required) step_index_ = steps_.size();
   }
-  timer_ = loop_.at(loop_.now(), [this] { run_next_step(); });
+  timer_ = loop_.call_at(loop_.now(), [this] { run_next_step(); });
 }
 
 }  // namespace marbledyke::keeper
--- a/src/keeper/version_check.h
+++ b/src/keeper/version_check.h
@@ -17,7 +17,7 @@
 
 namespace marbledyke::keeper {
 
-class VersionCheck final : public net::Watcher {
+class VersionCheck final : public net::EventHandler {
  public:
   struct Step {
     std::string failure;  // the text that is reported where the step fails
@@ -40,7 +40,7 @@
   VersionCheck& operator=(const VersionCheck&) = delete;
 
   // Called by the loop when the program has ended.
-  void ready(bool readable, bool writable) override;
+  void on_ready(bool readable, bool writable) override;
 
  private:
   void run_next_step();
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -9,41 +9,42 @@
 namespace marbledyke::net {
 
 namespace {
-constexpr int kAcceptsARound = 64;
+constexpr int kMaxAcceptsPerTurn = 64;
 }  // namespace
 
-Listener::Listener(Loop& loop, const Address& address, Told told)
-    : loop_(loop), fd_(listen_on(address)), told_(std::move(told)) {
+Listener::Listener(Loop& loop, const Address& address, Callbacks callbacks)
+    : loop_(loop), fd_(listen_on(address)), callbacks_(std::move(callbacks)) {
   if (!fd_) throw std::system_error(errno, std::generic_category(), address.text());
-  place_ = loop_.watch(fd_.get(), *this);
+  watch_id_ = loop_.watch(fd_.get(), *this);
 }
 
-void Listener::ready(bool, bool) { accept(); }
+void Listener::on_ready(bool, bool) { accept(); }
 
 void Listener::accept() {
-  waits_ = true;
-  for (int count = 0; fd_ && count < kAcceptsARound; ++count) {
-    if (!told_.room()) return;
-    Descriptor fd = accept_from(fd_.get());
+  backlog_pending_ = true;
+  for (int count = 0; fd_ && count < kMaxAcceptsPerTurn; ++count) {
+    if (!callbacks_.has_room()) return;
+    Descriptor fd = accept_connection(fd_.get());
     if (!fd) {
       if (errno == EINTR || errno == ECONNABORTED) continue;
-      // Where there is neither a descriptor nor one to give up, it is tried again when one is.
-      waits_ = errno != EAGAIN && errno != EWOULDBLOCK;
+      // Without a descriptor, and with none that the owner could close, accepting is tried again once one is
+      // free.
+      backlog_pending_ = errno != EAGAIN && errno != EWOULDBLOCK;
       if (errno == EMFILE || errno == ENFILE) {
-        waits_ = anybody_waits(fd_.get());
-        if (waits_ && told_.make_room()) continue;
+        backlog_pending_ = has_pending_connection(fd_.get());
+        if (backlog_pending_ && callbacks_.free_descriptor()) continue;
       }
       return;
     }
-    told_.came(std::move(fd));
+    callbacks_.on_accepted(std::move(fd));
   }
-  again();  // a flood waits its turn like everything else
+  resume();  // the rest of a burst waits for the next turn, so that other events are handled in between
 }
 
-void Listener::again() {
-  if (!fd_ || !waits_ || due_) return;
-  due_ = loop_.at(loop_.now(), [this] {
-    due_.reset();
+void Listener::resume() {
+  if (!fd_ || !backlog_pending_ || accept_timer_) return;
+  accept_timer_ = loop_.call_at(loop_.now(), [this] {
+    accept_timer_.reset();
     accept();
   });
 }
@@ -51,14 +52,14 @@
 void Listener::stop() {
   if (!fd_) return;
   accept();
-  shut();
+  close();
 }
 
-void Listener::shut() {
+void Listener::close() {
   if (!fd_) return;
-  if (due_) loop_.cancel(*due_);
-  due_.reset();
-  loop_.forget(fd_.get(), place_);
+  if (accept_timer_) loop_.cancel(*accept_timer_);
+  accept_timer_.reset();
+  loop_.unwatch(fd_.get(), watch_id_);
   fd_.close();
 }
 
--- a/tests/address_rig.cpp
+++ b/tests/address_rig.cpp
@@ -1,6 +1,6 @@
-// The connections to servers of several addresses, on loopback sockets against stand-ins that misbehave on
-// order. `fates`, `failover` and `schedules` print the same every time and are kept as traces; `measure`
-// gives figures for docs/several-addresses.md and takes a minute or two.
+// Tests the connections to servers with several addresses over loopback sockets, against stand-in servers
+// that misbehave as told. The output of `fates`, `failover` and `schedules` is deterministic and kept as
+// traces; `measure` prints the figures for docs/several-addresses.md and takes one or two minutes.
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -11,12 +11,12 @@
 #include <set>
 
 #include "log/log.h"
-#include "servers/servers.h"
+#include "servers/shard_server_pool.h"
 #include "standins/leaf.h"
 
 using namespace marbledyke;
 using namespace std::chrono_literals;
-using addresses::Book;
+using addresses::AddressBook;
 using net::Family;
 using standins::Door;
 using standins::Leaf;
@@ -24,10 +24,10 @@
 
 namespace {
 
-// The rule gives 500 ms; this program writes nothing new once it knows, so the rig allows only what was on
-// its way.
+// The rule permits sends for 500 ms after a change of the list. The pool writes nothing new once it knows of
+// the change, so the test permits only what was already on its way.
 constexpr Duration kGrace = 100ms;
-// And so many turns of the loop, so that a machine that stands still is not taken for a breach.
+// The grace also lasts for this many turns of the loop, so that a stalled machine does not count as a breach.
 constexpr long kGraceTurns = 20;
 
 config::ServiceSettings settings() {
@@ -53,69 +53,69 @@
         servers(loop, settings_, seed, [] { return false; }),
         leaf(loop, options, seed) {
     loop.read_clock();
-    addresses::Rules rules;
-    rules.attempt = settings_.connect_timeout;
-    rules.hold = 200ms;
-    rules.hold_most = 2s;
-    servers.configure(rules, {});
+    addresses::ConnectSettings settings;
+    settings.attempt = settings_.connect_timeout;
+    settings.hold = 200ms;
+    settings.hold_most = 2s;
+    servers.configure(settings, {});
   }
 
   void list(const std::string& server, std::vector<net::Address> addresses,
             ServerStatus standing = ServerStatus::up) {
-    list::News news;
-    list::Entry entry;
+    list::ListUpdate update;
+    list::ServerEntry entry;
     entry.row.server = server;
     entry.row.status = standing;
     entry.addresses = std::move(addresses);
-    news.entries.push_back(std::move(entry));
-    servers.listed(news);
+    update.entries.push_back(std::move(entry));
+    servers.apply_list_update(update);
   }
 
-  servers::Errand errand_of(bool once, std::size_t size, Duration patience) {
-    servers::Errand errand;
+  servers::SendRequest request_of(bool once, std::size_t size, Duration patience) {
+    servers::SendRequest request;
     char digits[17];
     std::snprintf(digits, sizeof digits, "%016llx", static_cast<unsigned long long>(++number));
-    std::copy_n(digits, 16, errand.part.text.begin());
-    errand.id = digits;
-    errand.once = once;
-    errand.text = std::make_shared<const std::string>(size, 'x');
-    errand.pulled = loop.now();
-    errand.not_past = loop.now() + patience;
-    return errand;
+    std::copy_n(digits, 16, request.part.text.begin());
+    request.id = digits;
+    request.non_retriable = once;
+    request.text = std::make_shared<const std::string>(size, 'x');
+    request.issued_at = loop.now();
+    request.deadline = loop.now() + patience;
+    return request;
   }
 
   RequestId send(const std::string& server, bool once, std::size_t size = 8, Duration patience = 3s) {
-    servers::Errand errand = errand_of(once, size, patience);
-    const RequestId part = errand.part;
-    servers.call(server, {std::move(errand)});
+    servers::SendRequest request = request_of(once, size, patience);
+    const RequestId part = request.part;
+    servers.call(server, {std::move(request)});
     return part;
   }
 
-  // Sixteen parts of 64 KiB in one call: a frame that fits no buffer on its way.
+  // Sends sixteen parts of 64 KiB in one call, a frame that exceeds every buffer on its way.
   void send_large(const std::string& server, std::vector<RequestId>& parts, Duration patience) {
-    std::vector<servers::Errand> call;
+    std::vector<servers::SendRequest> call;
     for (int i = 0; i < 16; ++i) {
-      call.push_back(errand_of(true, 64 * 1024, patience));
+      call.push_back(request_of(true, 64 * 1024, patience));
       parts.push_back(call.back().part);
     }
     servers.call(server, std::move(call));
   }
 
-  // Until that part has its fate.
-  servers::Ended wait(const RequestId& part) {
+  // Runs the loop until the part's send has ended.
+  servers::SendResult wait(const RequestId& part) {
     for (;;) {
-      for (servers::Ended& ended : servers.ended) {
+      for (servers::SendResult& ended : servers.finished_sends) {
         if (ended.part != part) continue;
-        servers::Ended out = std::move(ended);
-        servers.ended.clear();
+        servers::SendResult out = std::move(ended);
+        servers.finished_sends.clear();
         return out;
       }
       turn();
     }
   }
   void turn(Duration most = 5ms) {
-    loop.at(loop.now() + most, [] {});
-    loop.gather();
+    loop.call_at(loop.now() + most, [] {});
+    loop.run_once();
     ++turns;
   }
   void pass(Duration time) {
@@ -124,7 +124,7 @@
 
   net::Loop loop;
   config::ServiceSettings settings_;
-  servers::Servers servers;
+  servers::ShardServerPool servers;
   Leaf leaf;
   std::uint64_t number = 0;
   long turns = 0;
@@ -132,7 +132,7 @@
 
 std::string id_of(const RequestId& part) { return std::string(part.view()); }
 
-// Three doors of one leaf, in the default order of preference.
+// Returns three addresses (doors) of one stand-in server, in the default order of preference.
 std::vector<net::Address> three_doors(Rig& rig, std::uint32_t number = 1) {
   std::vector<net::Address> out;
   for (const Family family : {Family::local, Family::ip6, Family::ip4}) {
@@ -143,7 +143,7 @@
   return out;
 }
 
-// What becomes of a part, case by case, and whether it ran; each on a server of its own.
+// The fate of a part in each case, and whether it ran; each case has a server of its own.
 void fates() {
   const auto one = [](const char* what, const std::function<void(Rig&)>& before, bool sole,
                       std::size_t size = 8, const std::function<void(Rig&)>& during = nullptr) {
@@ -153,7 +153,7 @@
     before(rig);
     const RequestId part = rig.send("A", true, size, 700ms);
     if (during) during(rig);
-    const servers::Ended ended = rig.wait(part);
+    const servers::SendResult ended = rig.wait(part);
     rig.pass(20ms);
     std::printf("%s%s: %s, ran %d times\n", what, sole ? ", its only address" : "", name_of(ended.fate),
                 rig.leaf.runs(id_of(part)));
@@ -165,7 +165,7 @@
       rig.leaf.set(2, third);
     };
   };
-  // Found sound first, then the doors change; the connection that was sound is closed or not.
+  // The addresses work first and then change; the open connection is closed or not.
   const auto after_use = [&](Door how, bool cut) {
     return [=](Rig& rig) {
       rig.wait(rig.send("A", true));
@@ -190,7 +190,7 @@
   one("sound, then accepted and reset on a new connection", after_use(Door::resets_on_accept, true), false);
   one("sound, then the kept connection reads nothing, and a frame that fits its buffer",
       after_use(Door::stalls, false), false);
-  // 16 MB would fit no buffer, 64 KiB of a value is the most; so the call has many parts.
+  // A part's body is at most 64 KiB, so a call that exceeds every buffer needs many parts.
   const auto partly = [](Rig& rig) {
     rig.pass(30ms);
     rig.leaf.cut_all();
@@ -206,7 +206,7 @@
     rig.send_large("A", parts, 3s);
     partly(rig);
     int never = 0, ran = 0;
-    for (const servers::Ended& ended : rig.servers.ended)
+    for (const servers::SendResult& ended : rig.servers.finished_sends)
       never += ended.fate == SendOutcome::dial_failed ? 1 : 0;
     for (const RequestId& part : parts) ran += rig.leaf.runs(id_of(part));
     std::printf(
@@ -214,9 +214,9 @@
         never, ran);
   }
   {
-    // The server takes no more of a frame, ever: its parts have their fate in time, the next part does not
-    // wait behind them, and once the list has the server no more, nothing of it is left (seed 4 of the
-    // schedules, on a slow machine).
+    // The server stops reading in the middle of a frame for good. The sends in that frame end by their
+    // deadlines, the next part does not wait behind them, and nothing is left once the list has removed the
+    // server (seed 4 of the schedules, on a slow machine).
     Rig rig;
     const auto at = three_doors(rig);
     rig.list("A", {at[0]});
@@ -226,26 +226,26 @@
     rig.send_large("A", parts, 300ms);
     rig.pass(400ms);
     std::size_t told = 0;
-    for (const servers::Ended& ended : std::exchange(rig.servers.ended, {}))
+    for (const servers::SendResult& ended : std::exchange(rig.servers.finished_sends, {}))
       told += ended.fate == SendOutcome::expired ? 1 : 0;
     rig.leaf.set(0, Door::open);
-    const servers::Ended next = rig.wait(rig.send("A", true));
+    const servers::SendResult next = rig.wait(rig.send("A", true));
     rig.leaf.set(0, Door::stalls);
     rig.send_large("A", parts, 300ms);
     rig.pass(20ms);
-    list::News none;
-    none.whole = true;
-    rig.servers.listed(none);
+    list::ListUpdate none;
+    none.is_snapshot = true;
+    rig.servers.apply_list_update(none);
     rig.pass(400ms);
     std::printf(
         "a frame of 1 MB that is never taken whole: %zu of 16 expired, the next part %s, left over %zu\n",
-        told, name_of(next.fate), rig.servers.connections());
+        told, name_of(next.fate), rig.servers.connection_count());
   }
   one("a loser of the race comes up late", doors(Door::hangs, Door::hangs), false, 8, [](Rig& rig) {
     rig.pass(215ms);
     rig.leaf.set(1, Door::open);
   });
-  // The list takes the address away, or the whole server, while its connect hangs.
+  // The list removes the address, or the whole server, while its connect hangs.
   one("its address is taken from the list while it hangs", doors(Door::hangs, Door::hangs), false, 8,
       [](Rig& rig) {
         rig.pass(20ms);
@@ -266,7 +266,8 @@
       });
 }
 
-// The preferred address is dead in each way there is: the first part pays for finding out, the next does not.
+// The preferred address fails in each possible way: the first part pays for the detection, the next one does
+// not.
 void failover() {
   for (const Door how : {Door::refuses, Door::hangs, Door::resets_on_accept, Door::silent}) {
     for (const bool both : {false, true}) {
@@ -276,17 +277,17 @@
       if (both) rig.leaf.set(1, how);
       rig.list("A", doors);
       const RequestId first = rig.send("A", true);
-      const servers::Ended ended = rig.wait(first);
+      const servers::SendResult ended = rig.wait(first);
       rig.leaf.cut_all();
       rig.pass(5ms);
       const auto begun = Clock::now();
       const RequestId second = rig.send("A", true);
-      const servers::Ended then = rig.wait(second);
+      const servers::SendResult then = rig.wait(second);
       const auto took = Clock::now() - begun;
       rig.leaf.set(0, Door::open);
       rig.leaf.set(1, Door::open);
       rig.pass(700ms);
-      const bool back = rig.servers.book().order("A").front() == doors[0];
+      const bool back = rig.servers.address_book().dial_order("A").front() == doors[0];
       std::printf("%s, %s: first %s%s, next %s%s; ran %d and %d times; preferred again: %s\n",
                   standins::name_of(how), both ? "two of three" : "one of three", name_of(ended.fate),
                   ended.elapsed < 300ms ? " within 300 ms" : " LATE", name_of(then.fate),
@@ -303,12 +304,12 @@
   bool clean() const {
     return doubled + ran_though_never + unanswered + after_drain + astray + twice_told == 0 && left_over == 0;
   }
-  addresses::Tally book;
-  servers::Tally tally;
+  addresses::Counters book;
+  servers::Counters tally;
 };
 
-// Four servers of three addresses, doors that change at random, a list that drains, moves and takes away
-// addresses, parts that are sent on by the rule: again only where no earlier send can have run.
+// Four servers of three addresses whose doors change at random, a list that drains servers and moves and
+// removes addresses, and parts that are sent again only where no earlier send can have run.
 Verdict schedule(std::uint32_t seed, long parts, Duration between) {
   standins::LeafOptions options;
   options.service = 2ms;
@@ -320,7 +321,7 @@
   std::vector<std::unique_ptr<Leaf>> leaves;
   struct Listed {
     std::vector<net::Address> addresses;
-    std::map<net::Address, Duration> taken;  // when the list took it from the server
+    std::map<net::Address, Duration> taken;  // when the list removed it from the server
     bool up = true;
     Duration drained{};
     long drained_turn = 0, moved_turn = 0;
@@ -355,7 +356,7 @@
       const Listed& its = listed.at(at->second.server);
       if (!its.up && rig.loop.now() > its.drained + kGrace && rig.turns > its.drained_turn + kGraceTurns)
         out.after_drain += 1;
-      // The address is, or was a moment ago, one of that server's.
+      // The address is one of that server's, or was within the grace.
       const net::Address& address = leaf->address(door);
       const auto gone = its.taken.find(address);
       if (std::find(its.addresses.begin(), its.addresses.end(), address) == its.addresses.end() &&
@@ -372,27 +373,27 @@
   std::vector<std::pair<Duration, std::string>> again;
   const auto send = [&](const std::string& id) {
     Part& part = book.at(id);
-    // Any server that is up, as the module would choose.
+    // Any server that is up, as the decision engine would choose.
     std::vector<std::string> up;
     for (const std::string& name : names) {
       if (listed.at(name).up) up.push_back(name);
     }
     if (up.empty()) return void(part.done = true);
     part.server = up[draw(static_cast<std::uint32_t>(up.size()))];
-    servers::Errand errand;
-    std::copy_n(id.begin(), 16, errand.part.text.begin());
-    errand.send = part.sends++;
-    errand.id = id;
-    errand.once = part.once;
-    errand.text = std::make_shared<const std::string>(draw(20) == 0 ? 40'000 : 100, 'x');
-    errand.pulled = rig.loop.now();
-    errand.not_past = rig.loop.now() + (draw(4) == 0 ? 1500ms : 400ms);
+    servers::SendRequest request;
+    std::copy_n(id.begin(), 16, request.part.text.begin());
+    request.send = part.sends++;
+    request.id = id;
+    request.non_retriable = part.once;
+    request.text = std::make_shared<const std::string>(draw(20) == 0 ? 40'000 : 100, 'x');
+    request.issued_at = rig.loop.now();
+    request.deadline = rig.loop.now() + (draw(4) == 0 ? 1500ms : 400ms);
     part.open += 1;
     out.sends += 1;
-    rig.servers.call(part.server, {std::move(errand)});
+    rig.servers.call(part.server, {std::move(request)});
   };
   const auto heard = [&] {
-    for (const servers::Ended& ended : std::exchange(rig.servers.ended, {})) {
+    for (const servers::SendResult& ended : std::exchange(rig.servers.finished_sends, {})) {
       const std::string id(ended.part.view());
       Part& part = book.at(id);
       if (--part.open < 0) out.twice_told += 1;
@@ -423,13 +424,13 @@
     } else if (what < 78) {
       leaves[which]->cut_all();
     } else if (what < 88) {
-      // Drains, or is back.
+      // The server drains, or is up again.
       one.up = !one.up;
       if (!one.up) one.drained = rig.loop.now();
       one.drained_turn = rig.turns;
       rig.list(name, one.addresses, one.up ? ServerStatus::up : ServerStatus::draining);
     } else {
-      // Other addresses of its own, in another order; at times one that is another server's.
+      // Other addresses of the server in another order; at times one of another server's.
       std::vector<net::Address> now;
       for (int door = 0; door < 3; ++door) {
         if (draw(4) > 0) now.push_back(leaves[which]->address(door));
@@ -453,7 +454,7 @@
   std::optional<Duration> ends;
   for (;;) {
     const Duration now = rig.loop.now();
-    next = std::max(next, now - 10 * between);  // a machine that stood still is not flooded afterwards
+    next = std::max(next, now - 10 * between);  // no burst after the machine has stalled
     for (; made < parts && next <= now; next += between, ++made) {
       char digits[17];
       std::snprintf(digits, sizeof digits, "%08x%08lx", seed, made);
@@ -475,7 +476,7 @@
       again.erase(again.begin() + static_cast<std::ptrdiff_t>(i));
       send(id);
     }
-    out.most_sockets = std::max(out.most_sockets, rig.servers.sockets());
+    out.most_sockets = std::max(out.most_sockets, rig.servers.socket_count());
     rig.turn(made < parts ? std::max(Duration(100), next - now) : Duration(5ms));
     heard();
     if (made < parts) continue;
@@ -494,14 +495,14 @@
     if (!part.done || part.open != 0) out.unanswered += 1;
   }
   out.parts = made;
-  out.book = rig.servers.book().tally();
-  out.tally = rig.servers.tally();
-  // All servers go: nothing may be left.
-  list::News none;
-  none.whole = true;
-  rig.servers.listed(none);
+  out.book = rig.servers.address_book().counters();
+  out.tally = rig.servers.counters();
+  // All servers are removed: nothing may be left.
+  list::ListUpdate none;
+  none.is_snapshot = true;
+  rig.servers.apply_list_update(none);
   rig.pass(400ms);
-  out.left_over = rig.servers.connections() + rig.servers.book().racing();
+  out.left_over = rig.servers.connection_count() + rig.servers.address_book().race_count();
   return out;
 }
 
@@ -512,8 +513,8 @@
       v.doubled, v.ran_though_never, v.unanswered, v.twice_told, v.after_drain, v.astray, v.left_over);
 }
 
-// Three seeds, and more of them, up to a bound, until every kind of fault has bitten: how many do in one run
-// follows from how fast the machine is, whether any do must not.
+// Runs three seeds, and further ones up to a bound until every kind of fault has had an effect. How many
+// faults have one in a single run depends on the machine's speed; whether each kind has one at all must not.
 void schedules() {
   struct Need {
     const char* what;
@@ -565,7 +566,7 @@
   for (const Door how : {Door::open, Door::refuses, Door::hangs, Door::resets_on_accept, Door::silent}) {
     Rig rig;
     const auto doors = three_doors(rig);
-    // A local socket with a full backlog fails at once; IPv6 in front shows a connect that hangs.
+    // A Unix socket with a full backlog fails at once; with IPv6 preferred, the connect hangs.
     const std::vector<net::Address> order =
         how == Door::hangs ? std::vector<net::Address>{doors[1], doors[2]} : doors;
     rig.leaf.set(how == Door::hangs ? 1 : 0, how);
@@ -574,15 +575,15 @@
     std::vector<double> first, next;
     for (int i = 0; i < 100; ++i) {
       const std::string server = "A" + std::to_string(i);
-      // One server a time has the addresses: they are nobody else's.
-      list::News news;
-      news.whole = true;
-      servers::Errand unused;
-      list::Entry entry;
+      // Only one server at a time has the addresses.
+      list::ListUpdate update;
+      update.is_snapshot = true;
+      servers::SendRequest unused;
+      list::ServerEntry entry;
       entry.row.server = server;
       entry.addresses = order;
-      news.entries.push_back(entry);
-      rig.servers.listed(news);
+      update.entries.push_back(entry);
+      rig.servers.apply_list_update(update);
       for (int k = 0; k < 6; ++k) {
         const auto begun = Clock::now();
         rig.wait(rig.send(server, true));
--- a/tests/client_room_traces.cpp
+++ b/tests/client_room_traces.cpp
@@ -111,7 +111,7 @@
 
 // Runs `action` in the next turn, after input has been read and before any timer of the gatherer.
 void run_before_timers(Scene& scene, const std::function<void()>& action) {
-  scene.gatherer.loop().at(Duration::min() / 2, action);
+  scene.gatherer.loop().call_at(Duration::min() / 2, action);
 }
 
 // All slots hold a pending request when a planned stop ends accepting, and more clients connect in the same
--- a/tests/crossing_traces.cpp
+++ b/tests/crossing_traces.cpp
@@ -19,7 +19,7 @@
 
 // Runs `action` in the next turn, after input has been read and before any timer of the gatherer.
 void run_before_timers(Scene& scene, const std::function<void()>& action) {
-  scene.gatherer.loop().at(Duration::min() / 2, action);
+  scene.gatherer.loop().call_at(Duration::min() / 2, action);
 }
 
 // A client pipelines many requests and resets its connection after the first response was written and before
@@ -397,11 +397,11 @@
     for (int i = 0; i < 2; ++i) fillers.push_back(net::start_connect(*net::parse_address(address(last))));
   }
   void empty() {
-    while (net::accept_from(listener.get())) {
+    while (net::accept_connection(listener.get())) {
     }
   }
   std::string received() {
-    if (net::Descriptor fd = net::accept_from(listener.get())) connections.push_back({std::move(fd)});
+    if (net::Descriptor fd = net::accept_connection(listener.get())) connections.push_back({std::move(fd)});
     for (Connection& connection : connections) text += connection.read_available();
     return text;
   }
@@ -437,24 +437,24 @@
   const Scene scene(list_entry("A", 11));
   net::Loop loop;
   loop.read_clock();
-  servers::Servers servers(loop, scene.gatherer_config.settings, 7, [] { return false; });
-  servers.listed(
-      list::read_news(config::parse(list_json(5, list_entry("A", 11))), scene.gatherer_config.settings, 0s));
-  std::vector<servers::Errand> errands(2);
-  for (servers::Errand& errand : errands) {
+  servers::ShardServerPool servers(loop, scene.gatherer_config.settings, 7, [] { return false; });
+  servers.apply_list_update(list::parse_list_update(config::parse(list_json(5, list_entry("A", 11))),
+                                                    scene.gatherer_config.settings, 0s));
+  std::vector<servers::SendRequest> errands(2);
+  for (servers::SendRequest& errand : errands) {
     const bool first = &errand == &errands.front();
     errand.part.text.fill(first ? '1' : '2');
     errand.id = first ? "repeat.1" : "other.1";
     errand.text = std::make_shared<const std::string>("f00d");
-    errand.not_past = loop.now() + 10s;
-    if (first) errand.begun_by = loop.now() + 200ms;
+    errand.deadline = loop.now() + 10s;
+    if (first) errand.start_deadline = loop.now() + 200ms;
   }
   servers.call("A", std::move(errands));
   const auto until = [&](const std::function<bool()>& holds) {
     const auto end = std::chrono::steady_clock::now() + 10s;
     while (!holds() && std::chrono::steady_clock::now() < end) {
-      loop.at(loop.now() + 20ms, [] {});
-      loop.gather();
+      loop.call_at(loop.now() + 20ms, [] {});
+      loop.run_once();
     }
   };
   const Duration begun = loop.now();
@@ -465,7 +465,7 @@
                                                              : "NOTHING IS WRITTEN");
   print(full.received().find("repeat.1") == std::string::npos ? "the repeat is not written"
                                                               : "THE REPEAT IS WRITTEN");
-  for (const servers::Ended& one : servers.ended)
+  for (const servers::SendResult& one : servers.finished_sends)
     print(one.fate == SendOutcome::unused ? "it ends as never sent" : "IT ENDS OTHERWISE");
 }
 
@@ -510,7 +510,8 @@
   scene.gatherer.begin_stop();  // SIGTERM twice
   // After input has been read and right after the gatherer's own timer, in the turn that closes the idle
   // connections.
-  scene.gatherer.loop().at(scene.gatherer.loop().now() + 400ms, [&] { idle.send("m2", "issue", kOnePart); });
+  scene.gatherer.loop().call_at(scene.gatherer.loop().now() + 400ms,
+                                [&] { idle.send("m2", "issue", kOnePart); });
   scene.advance(300ms);
   Client fresh;
   scene.run_until("its end",
@@ -593,7 +594,7 @@
   discovery.last_connection->reset();
   discovery.fill();
   sockaddr_storage to{};
-  const socklen_t size = net::parse_address(address(1))->put(to);
+  const socklen_t size = net::parse_address(address(1))->to_sockaddr(to);
   for (const net::Descriptor& fd : late) {
     connect(fd.get(), reinterpret_cast<const sockaddr*>(&to), size);
     send(fd.get(), "GET /healthz HTTP/1.1\r\n\r\n", 25, MSG_NOSIGNAL);
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -75,7 +75,7 @@
   virtual void process_input() = 0;
   // Returns the next connection from the queue; null if there is none.
   Connection* accept() {
-    net::Descriptor fd = net::accept_from(listener.get());
+    net::Descriptor fd = net::accept_connection(listener.get());
     if (!fd) return nullptr;
     connections.push_back({std::move(fd)});
     return &connections.back();
@@ -101,9 +101,9 @@
       const std::string bytes = connection.read_available();
       std::string_view unread = bytes;
       while (!unread.empty()) {
-        unread.remove_prefix(reader->take(unread));
-        if (reader->state() != servers::FrameReader::State::done) continue;
-        std::string text = reader->frame().letter + std::string(" ") + reader->frame().rest;
+        unread.remove_prefix(reader->feed(unread));
+        if (reader->state() != servers::FrameParser::State::complete) continue;
+        std::string text = reader->frame().type + std::string(" ") + reader->frame().payload;
         for (std::size_t at; (at = text.find('\n')) != std::string::npos;) text.replace(at, 1, "|");
         // Time limits differ between runs.
         for (std::size_t at = 0; (at = text.find(" d=", at)) != std::string::npos;) {
@@ -111,7 +111,7 @@
           text.replace(at, text.find_first_not_of("0123456789", at) - at, "*");
         }
         frames.push_back({&connection, text});
-        reader->restart();
+        reader->reset();
       }
       ++reader;
     }
@@ -124,7 +124,7 @@
     servers::end_frame(frame, place);
     connection->write(frame);
   }
-  std::list<servers::FrameReader> readers;
+  std::list<servers::FrameParser> readers;
   std::deque<Frame> frames;
   int connections_opened = 0;
 };
@@ -265,8 +265,8 @@
     }
   }
   void run_turn() {
-    gatherer.loop().at(gatherer.loop().now() + 20ms,
-                       [] {});  // so that the turn ends and the fake servers are polled
+    gatherer.loop().call_at(gatherer.loop().now() + 20ms,
+                            [] {});  // so that the turn ends and the fake servers are polled
     running = gatherer.run_once() && running;
     if (manual_clock != nullptr) manual_clock->advance();
   }
