--- a/src/clients/http_front.h
+++ b/src/clients/http_front.h
@@ -13,10 +13,10 @@
 
 #include "clients/eviction.h"
 #include "clients/multiget_request.h"
+#include "net/descriptor_reserve.h"
 #include "net/http.h"
 #include "net/loop.h"
 #include "net/socket.h"
-#include "net/descriptor_reserve.h"
 
 namespace marbledyke::clients {
 
@@ -73,7 +73,9 @@
   void schedule_accept();
   std::size_t slots() const { return max_descriptors_ - reserved_; }
   std::size_t slots_used() const { return connections_.size() - slotless_; }
-  bool is_at_descriptor_limit() const { return connections_.size() + spare_.held_count() >= max_descriptors_; }
+  bool is_at_descriptor_limit() const {
+    return connections_.size() + spare_.held_count() >= max_descriptors_;
+  }
   bool replenish_reserve();
   bool acquire_slot(Connection& connection);
   bool displace_silent_connection();
--- a/src/clients/multiget_request.cpp
+++ b/src/clients/multiget_request.cpp
@@ -71,8 +71,7 @@
 Multiget parse(const net::HttpMessage& request, const config::ServiceSettings& settings) {
   Multiget out;
   out.id = required_header(request, "x-request-id");
-  if (!is_valid_id(out.id))
-    reject("x-request-id: empty, too long, or with characters it may not have");
+  if (!is_valid_id(out.id)) reject("x-request-id: empty, too long, or with characters it may not have");
   const std::string& type = required_header(request, "x-class");
   const auto op_type =
       std::find_if(settings.op_types.begin(), settings.op_types.end(),
@@ -152,7 +151,8 @@
 
 std::string answer_text(int status, std::string_view body, bool keep_alive, Duration retry_after) {
   const bool is_json = status == 200 && body.starts_with('{');
-  return net::format_response(status, is_json ? "application/json" : "text/plain", body, keep_alive, retry_after);
+  return net::format_response(status, is_json ? "application/json" : "text/plain", body, keep_alive,
+                              retry_after);
 }
 
 }  // namespace marbledyke::clients
--- a/src/net/json_server.h
+++ b/src/net/json_server.h
@@ -35,7 +35,7 @@
   struct Limits {
     std::size_t max_connections = 64;        // further ones wait in the backlog
     std::size_t max_body_bytes = 64 * 1024;  // of a request
-    Duration reply_timeout = 10s;      // without a reply within this, the server sends 503
+    Duration reply_timeout = 10s;            // without a reply within this, the server sends 503
   };
   struct Callbacks {
     // The owner calls send_reply(), within this call or later. The connection carries no other request before
