--- a/tests/operator_serve.sh
+++ b/tests/operator_serve.sh
@@ -34,10 +34,12 @@
 
 echo "-- a start with a bad file"
 told 1 > "$dir/config.json"
+: > "$dir/log"  # wait_for may read it before the program has opened it
 PROXY_CONFIG=$dir/config.json "$program" serve --operator "$dir/bad.xml" 2>&1 | plain
 
 echo "-- serving"
 sed 's/format="json"/format="plain"/' "$source/deploy/operator-example.xml" > "$dir/operator.xml"
+: > "$dir/log"  # wait_for may read it before the program has opened it
 PROXY_CONFIG=$dir/config.json "$program" serve --operator "$dir/operator.xml" 2> "$dir/log" &
 pid=$!
 wait_for gatherer.serving
--- a/tests/reload.sh
+++ b/tests/reload.sh
@@ -21,6 +21,7 @@
 reload() { cat > "$dir/config.json"; kill -HUP "$pid"; wait_for "$1"; }
 
 configuration 1 > "$dir/config.json"
+: > "$dir/log"  # wait_for may read it before the program has opened it
 PROXY_CONFIG=$dir/config.json "$program" 2> "$dir/log" &
 pid=$!
 wait_for gatherer.serving
