--- a/src/capacity/roles.cpp
+++ b/src/capacity/roles.cpp
@@ -26,7 +26,7 @@
 constexpr const char* kPublisher = "answers to waiting calls (`src/distribution/publisher.h`)";
 constexpr const char* kAgreement = "agreement of the nodes that vote (`src/distribution/proposer.h`)";
 constexpr const char* kConnections = "one connection a server and gatherer (`src/servers`)";
-constexpr const char* kModule = "the decision module's turn (`src/choice.cpp`)";
+constexpr const char* kModule = "the decision module's turn (`src/decision_engine.cpp`)";
 constexpr const char* kKeeper = "a keeper over one gatherer (docs/keepers.md)";
 constexpr const char* kTheirs = "the operators' own service";
 constexpr const char* kFleetTool = "`marbledyke-fleet`, a call to each keeper";
@@ -288,7 +288,7 @@
        kModule, ""},
       {"shard server", "parts from one gatherer", "1/s",
        [](const Size& s, const Slopes&) { return Estimate::worked_out(parts_a_server(s) / s.gatherers); },
-       std::nullopt, "load reports come with answers (`src/choice.cpp`)", ""},
+       std::nullopt, "load reports come with answers (`src/decision_engine.cpp`)", ""},
       {"shard server", "processor time and memory of its connections", "core",
        [](const Size& s, const Slopes& m) { return by_servers(m, "shard_server_core", "share", s); },
        std::nullopt, kTheirs, ""},
