--- a/src/clients/http_front.cpp
+++ b/src/clients/http_front.cpp
@@ -20,7 +20,7 @@
 // error or a close within one second more.
 constexpr Duration kRequestTimeout = 2s;
 constexpr Duration kTimeoutCheckInterval = 100ms;
-// In a planned stop, the listener keep_alive open this much longer than clients connect: a connect may
+// In a planned stop, the listener stays open this much longer than clients connect: a connect may
 // complete late, and one that completes while the listener closes is reset.
 constexpr Duration kLateConnectGrace = 200ms;
 // Input that is read and discarded after the last answer.
@@ -196,7 +196,7 @@
 void HttpFront::on_data_received(Connection& connection) {
   net::RingBuffer& in = connection.stream->in();
   if (connection.is_closing) {
-    // Beyond the limit the ring keep_alive full and nothing more is read, so that 60 MB from one client do
+    // Beyond the limit the ring stays full and nothing more is read, so that 60 MB from one client do
     // not delay others.
     connection.discarded_bytes += in.size();
     if (connection.discarded_bytes <= kMaxDiscardedBytes) in.clear();
@@ -470,7 +470,7 @@
 
 void HttpFront::close_after_answers() { closes_after_answers_ = true; }
 
-// Closing a listener resets the connections in its queue. So it keep_alive open for a while longer than the
+// Closing a listener resets the connections in its queue. So it stays open for a while longer than the
 // protocol lets clients connect, and until the queue is empty. Connections in a shared queue are left to the
 // other processes.
 void HttpFront::stop_accepting() {
--- a/src/servers/shard_server_pool.h
+++ b/src/servers/shard_server_pool.h
@@ -62,7 +62,7 @@
 
 class ShardServerPool {
  public:
-  // make_room is called when no descriptor is left; it returns whether it closed one. The carriage settings
+  // make_room is called when no descriptor is left; it returns whether it closed one. The service settings
   // have to outlive the pool.
   ShardServerPool(net::Loop& loop, const config::ServiceSettings& settings, std::uint32_t seed,
                   std::function<bool()> make_room);
