--- a/src/fleet/rollout.cpp
+++ b/src/fleet/rollout.cpp
@@ -178,7 +178,7 @@
   for (const auto& [name, progress] : progress_) epoch = std::max(epoch, progress.epoch);
   controller_ = std::make_unique<rollout::Controller>(plan_, members_, saved_, epoch + 1, loop_.now(),
                                                       loop_.clock().wall());
-  append_history(std::string(resumed_ ? "resumed, epoch " : "started, epoch ") + std::to_string(epoch + 1));
+  append_history(std::string(resumed_ ? "taken over, epoch " : "begun, epoch ") + std::to_string(epoch + 1));
   baseline_from_ms_ = loop_.clock().wall() / 1ms;
   controller_->start();
   carry_out_actions();
@@ -282,7 +282,7 @@
   if (!command) return;
   disk_.remove_all(path);
   const std::string name = command->substr(0, command->find('\n'));
-  append_history("command: " + name);
+  append_history("told: " + name);
   if (name == "pause") controller_->pause();
   if (name == "resume") controller_->resume();
   if (name == "back") controller_->roll_back("by hand");
